--- a/src/amaranthslip/shares/__init__.py
+++ b/src/amaranthslip/shares/__init__.py
@@ -1,4 +1,4 @@
-"""Shares: which client account is served next, across the fleet."""
+"""Fair scheduling of client accounts across the fleet."""
 
 from amaranthslip.shares.dispatcher import Dispatcher
 from amaranthslip.shares.leases import SlotLease
--- a/src/amaranthslip/shares/backlog.py
+++ b/src/amaranthslip/shares/backlog.py
@@ -1,14 +1,16 @@
-"""The backlog that entries told a dispatcher of, for one service."""
+"""The backlog of one service, as entries reported it to a dispatcher."""
 
 import typing
 
 
 class Demand:
-    """What one entry wants for one client account.
+    """The waiting requests of one client account at one entry.
 
-    `since` is when its oldest request began to wait, in the dispatcher's
-    monotonic seconds; `estimate` is one request's expected cost in tokens,
-    `prefer` the backend server that its oldest request would like.
+    `count` is the number of requests, `since` the time at which the oldest
+    one was queued, in the dispatcher's monotonic seconds, `estimate` the
+    expected cost of one request in tokens, and `prefer` the backend server
+    that likely caches the prompt prefix of the oldest request. A server in
+    `excluded_until` is not offered before the given time.
     """
 
     __slots__ = (
@@ -18,7 +20,7 @@
         'since',
         'estimate',
         'prefer',
-        'avoid',
+        'excluded_until',
     )
 
     def __init__(self, entry: str, client_account: str) -> None:
@@ -28,11 +30,11 @@
         self.since = 0.0
         self.estimate = 0.0
         self.prefer = ''
-        self.avoid: dict[str, float] = {}
+        self.excluded_until: dict[str, float] = {}
 
 
 class Backlog:
-    """Demands by client account and entry; only those above zero."""
+    """Demands by client account and entry; empty demands are removed."""
 
     __slots__ = ('_demands',)
 
@@ -49,11 +51,17 @@
         estimate: float,
         prefer: str = '',
     ) -> bool:
-        """Take an entry's count; return whether the account began to wait."""
+        """Replace the demand of an entry for a client account.
+
+        Returns
+        -------
+        bool
+            Whether the account had no waiting request before.
+        """
         if count <= 0:
             self.drop(entry, client_account)
             return False
-        began = client_account not in self._demands
+        became_backlogged = client_account not in self._demands
         entries = self._demands.setdefault(client_account, {})
         demand = entries.get(entry)
         if demand is None:
@@ -62,16 +70,16 @@
         demand.since = since
         demand.estimate = estimate
         demand.prefer = prefer
-        return began
+        return became_backlogged
 
-    def take(self, demand: Demand) -> None:
-        """Count one request of a demand as granted."""
+    def count_grant(self, demand: Demand) -> None:
+        """Subtract one granted request from a demand."""
         demand.count -= 1
         if demand.count <= 0:
             self.drop(demand.entry, demand.client_account)
 
     def drop(self, entry: str, client_account: str) -> None:
-        """Forget one entry's demand for a client account."""
+        """Remove the demand of one entry for a client account."""
         entries = self._demands.get(client_account)
         if entries is not None:
             entries.pop(entry, None)
@@ -79,7 +87,13 @@
                 del self._demands[client_account]
 
     def drop_entry(self, entry: str) -> list[str]:
-        """Forget an entry; return the accounts that wait no more."""
+        """Remove all demand of an entry.
+
+        Returns
+        -------
+        list of str
+            The client accounts without any remaining demand.
+        """
         before = list(self._demands)
         for client_account in before:
             self.drop(entry, client_account)
@@ -90,15 +104,15 @@
         return list(self._demands)
 
     def list_demands(self, client_account: str) -> typing.Iterable[Demand]:
-        """Return one client account's demands, one for each entry."""
+        """Return the demands of a client account, one for each entry."""
         return self._demands.get(client_account, {}).values()
 
-    def waits(self, client_account: str) -> bool:
+    def has_waiting(self, client_account: str) -> bool:
         """Return whether a client account has requests waiting."""
         return client_account in self._demands
 
     def count(self) -> int:
-        """Return how many requests wait in all."""
+        """Return the total number of waiting requests."""
         return sum(
             demand.count
             for entries in self._demands.values()
--- a/src/amaranthslip/shares/dispatcher.py
+++ b/src/amaranthslip/shares/dispatcher.py
@@ -1,7 +1,8 @@
 """The dispatcher: grants the slots of the backend servers it owns.
 
-It keeps nothing that matters: wants, slots in use and service come from the
-entries, which tell all of it again to whoever needs it.
+The dispatcher holds only soft state. Entries report their demand, the slots
+that they use and the service that they delivered, and resend their complete
+state on request.
 """
 
 import contextlib
@@ -27,35 +28,37 @@
 _LOG = logging.getLogger(__name__)
 
 _TICK_SECONDS = 0.1
-# A grant that the entry did not confirm by then is taken back: the link may
-# be cut one way, and the slot would stay idle until TCP notices.
+# A grant that the entry has not confirmed within this time is revoked: the
+# connection may have failed in one direction, and the slot would stay idle
+# until TCP detects the failure.
 _CONFIRM_SECONDS = 1.0
-# A tick that comes this late means that this process was paused.
+# A longer interval between two ticks means that the process was paused.
 _PAUSE_SECONDS = 1.0
-# A wrong claim idles the server for as long: three seconds cost a healed
-# partition more than they spared the engines.
-_YIELD_SECONDS = 1.0
+# How long a server gets no grants after an entry reported another owner. If
+# that report is wrong, the server stays idle for this time: with 3 s, the idle
+# slots after a healed partition cost more than the engine overload avoided.
+_SUSPEND_SECONDS = 1.0
 _PRUNE_SECONDS = 3600.0
 _DIGEST_FANOUT = 8
 
 
 class Dispatcher:
-    """Decides which client account gets the next free slot, and where.
+    """Assigns free slots of the owned backend servers to client accounts.
 
     Parameters
     ----------
     settings : Settings
         Uses `instance` and `dispatch`.
     owned : Ownership
-        Who owns which backend server, and client accounts' homes.
+        The owners of backend servers and the homes of client accounts.
     holder : Holder
         The configuration in force.
     health : Health
-        Which backend servers may be used.
+        Tells which backend servers may receive requests.
     outbox : object
         `send(instance_name, message) -> bool`.
     metrics : Metrics
-        Counts grants and over-admission.
+        Receives the counts of grants and of requests over the limit.
     clock : callable
         Seconds, monotonic.
     """
@@ -71,14 +74,14 @@
         '_services',
         '_servers',
         '_holdings',
-        '_silent',
-        '_questions',
-        '_last_ask',
+        '_unresponsive',
+        '_restate_number',
+        '_last_restate',
         '_incarnations',
-        '_forgotten',
+        '_removed_entries',
         '_next_id',
         '_generation',
-        '_announced_to',
+        '_notified_members',
         '_random',
         '_last_tick',
         '_last_digest',
@@ -108,61 +111,64 @@
         self._services: dict[str, servicequeue.ServiceQueue] = {}
         self._servers: dict[str, slots.Slots] = {}
         self._holdings = holdings.Holdings()
-        # Entries that did not confirm a grant in time, and the question
-        # whose answer shows that grants reach them again.
-        self._silent: dict[str, int] = {}
-        self._questions = 0
+        # Entries that did not confirm a grant in time, with the number of
+        # the Restate whose answer shows that grants reach the entry again.
+        self._unresponsive: dict[str, int] = {}
+        self._restate_number = 0
         self._incarnations: dict[str, int] = {}
-        self._forgotten: set[str] = set()
-        # Grants of two lives of one instance must not share a number.
+        self._removed_entries: set[str] = set()
+        # Grant ids must differ between two incarnations of one instance.
         self._next_id = self._random.getrandbits(31) << 32
         self._generation = -1
-        self._announced_to: set[str] = set()
+        self._notified_members: set[str] = set()
         self._last_tick = clock()
         self._last_digest = clock()
-        self._last_ask = clock()
+        self._last_restate = clock()
         self._exits = contextlib.ExitStack()
 
     def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the greenlet that runs the periodic work."""
         greenlet = gevent.spawn(self._run)
         self._exits.callback(greenlet.kill)
 
     def close(self) -> None:
-        """End the periodic work."""
+        """Stop the greenlet that runs the periodic work."""
         self._exits.close()
 
     def receive(self, sender: str, message: object) -> None:
-        """Take one message of `shares.messages` from an entry or a peer."""
+        """Handle a message of `shares.messages` from an entry or a peer."""
         self._follow_ownership()
-        if sender in self._forgotten:
-            # It was taken for dead and its wants and slots were dropped; the
-            # message is only a part of what it has.
-            self._forgotten.discard(sender)
-            self.ask_again(sender)
-        self._take(message, sender)
+        if sender in self._removed_entries:
+            # The demand and slots of this entry were dropped when it was
+            # declared dead. One message carries only a part of its state.
+            self._removed_entries.discard(sender)
+            self.request_restate(sender)
+        self._handle(message, sender)
 
     def greet(self, sender: str, incarnation: int) -> None:
-        """Note a new connection from an entry; a restart empties it."""
+        """Handle a new connection from an entry.
+
+        After a restart of the entry its former state is dropped.
+        """
         known = self._incarnations.get(sender)
         self._incarnations[sender] = incarnation
-        self._forgotten.discard(sender)
+        self._removed_entries.discard(sender)
         if known is not None and known != incarnation:
             for service in self._services.values():
-                service.ledger.forget_reporter(sender)
-            self.forget_entry(sender)
+                service.ledger.drop_reporter(sender)
+            self.remove_entry(sender)
 
-    def forget_entry(self, entry: str) -> None:
-        """Drop what an entry wanted and held: it died or restarted."""
-        self._drop_wants(entry)
+    def remove_entry(self, entry: str) -> None:
+        """Drop the demand and slots of an entry that died or restarted."""
+        self._drop_demand(entry)
         for id in self._holdings.list_entry(entry):
             self._release(id)
         for service in self._services.values():
-            service.ledger.forget_running(entry)
+            service.ledger.drop_running(entry)
         self._grant_all()
 
     def observe_load(self, report: typing.Any) -> None:
-        """Take a load report of an owned backend server."""
+        """Process a load report of an owned backend server."""
         self._follow_ownership()
         owned = self._servers.get(report.server)
         if owned is None:
@@ -177,7 +183,7 @@
         self._grant_all()
 
     def describe(self) -> dict[str, dict[str, typing.Any]]:
-        """Return slots in use and limits of owned servers, for status."""
+        """Return the slots in use and limits of owned servers for status."""
         self._follow_ownership()
         return {
             name: {
@@ -190,17 +196,17 @@
         }
 
     def tick(self) -> None:
-        """Do the periodic work once."""
+        """Run the periodic work once."""
         now = self._clock()
         if now - self._last_tick > _PAUSE_SECONDS:
             self._resume_after_pause(now)
         self._last_tick = now
         self._follow_ownership()
-        self._take_back_unconfirmed(now)
-        if now - self._last_ask >= _CONFIRM_SECONDS:
-            self._last_ask = now
-            self._ask_silent()
-            self._forget_dead()
+        self._revoke_unconfirmed(now)
+        if now - self._last_restate >= _CONFIRM_SECONDS:
+            self._last_restate = now
+            self._restate_unresponsive()
+            self._remove_dead()
         self._grant_all()
         self._send_digests(now)
         for name, owned in self._servers.items():
@@ -212,15 +218,16 @@
             try:
                 self.tick()
             except Exception:
-                # One bad tick must not end the dispatcher's periodic work.
+                # An error in one tick must not stop the periodic work.
                 _LOG.exception('dispatch_tick_failed')
 
     def _resume_after_pause(self, now: float) -> None:
-        """Wait and ask again after a pause.
+        """Suspend grants and request the state of all entries after a pause.
 
-        While this process was stopped, others took its servers over and
-        entries ended what they held. It would grant from stale counts;
-        instead it grants nothing until the entries told again.
+        While this process was stopped, other dispatchers took over its
+        servers and requests ended at the entries. The slot counts are stale,
+        so nothing is granted for `dispatch.rebuild_seconds`, while the
+        entries resend their state.
         """
         _LOG.warning(
             'paused', extra={'seconds': round(now - self._last_tick, 1)}
@@ -228,7 +235,7 @@
         for owned in self._servers.values():
             owned.open_from = now + self._settings.dispatch.rebuild_seconds
         for name in self._ownership.list_alive():
-            self.ask_again(name)
+            self.request_restate(name)
 
     # -- ownership --------------------------------------------------------
 
@@ -238,32 +245,35 @@
             return
         self._generation = self._ownership.generation
         alive = set(self._ownership.list_alive())
-        newcomers = alive - self._announced_to
-        self._announced_to = alive
+        joined = alive - self._notified_members
+        self._notified_members = alive
         owned = {each.name: each for each in self._ownership.list_owned()}
         for name in self._servers.keys() & owned.keys():
-            self._announce(name, newcomers)
+            self._request_held(name, joined)
         for name in self._servers.keys() - owned.keys():
-            self._disown(name)
+            self._give_up(name)
         for server in owned.values():
             if server.name in self._servers:
                 self._servers[server.name].limit.configure(server.slots)
             else:
-                self._own(server)
+                self._take_over(server)
         for service in self._services.values():
-            # The whole service, not the servers owned here: an owner of one
-            # server could else never eject it.
+            # The ejection limit is a part of the servers of the service. It
+            # has to count all of them: from the owned servers alone, the
+            # owner of a single server could never eject that server.
             self._health.set_service(
                 server.name
                 for server in self._holder.document.backend_servers.values()
                 if server.service == service.name
             )
 
-    def _own(self, server: document.BackendServer) -> None:
-        """Begin to own a server, and wait for entries to tell of it.
+    def _take_over(self, server: document.BackendServer) -> None:
+        """Add a server to the owned ones, and delay grants at that server.
 
-        Its former owner's grants are still in progress. Granting before the
-        entries told of them would send the server twice what it batches.
+        Requests that the former owner granted are still in progress. Granting
+        before the entries have reported them, for which they get
+        `dispatch.rebuild_seconds`, would send the server twice its batch
+        size.
         """
         wait = self._settings.dispatch.rebuild_seconds
         if self._ownership.is_local:
@@ -275,38 +285,38 @@
             fixed=self._ownership.is_local,
             clock=self._clock,
         )
-        # An entry that knew of the change first told its slots already.
+        # Entries that detected the change earlier have reported their slots.
         for holding in self._holdings.list_server(server.name):
             owned.hold(holding)
         self._servers[server.name] = owned
-        self._announce(server.name, self._announced_to)
-        self._service(server.service).servers[server.name] = owned
+        self._request_held(server.name, self._notified_members)
+        self._get_service(server.service).servers[server.name] = owned
         self._metrics.count('grants', 'owned')
 
-    def _announce(self, server: str, names: set[str]) -> None:
-        """Ask all entries for the slots they hold at a server, at once.
+    def _request_held(self, server: str, names: set[str]) -> None:
+        """Ask entries to report the slots that they hold at a server.
 
-        They find out about the change of owner by themselves, seconds apart
-        from each other; granting before the last one did sent an engine
-        twice what it batches.
+        Without this message each entry detects the change of owner by itself,
+        with seconds between the first and the last one. Granting before the
+        last one had reported sent an engine twice its batch size.
         """
         if self._ownership.is_local:
             return
         for name in names:
             self._outbox.send(name, messages.Own(server=server))
 
-    def _yield_server(self, name: str) -> None:
-        """Grant nothing at a server for a while: another one took it over.
+    def _suspend_grants(self, name: str) -> None:
+        """Suspend grants at a server that another dispatcher took over.
 
-        The entry heard of the new owner before this dispatcher did. The
-        slot that moved is not free; granted again, the engine would get it
-        twice until the members' news is here.
+        The entry detected the new owner before this dispatcher did. The slot
+        that moved to the new owner is still in use: granting it again would
+        overload the engine until the membership update arrives here.
         """
         owned = self._servers.get(name)
         if owned is not None:
-            owned.open_from = self._clock() + _YIELD_SECONDS
+            owned.open_from = self._clock() + _SUSPEND_SECONDS
 
-    def _disown(self, name: str) -> None:
+    def _give_up(self, name: str) -> None:
         owned = self._servers.pop(name)
         for gauge in ('slots_busy', 'slots_limit'):
             self._metrics.set_gauge(gauge, name, 0)
@@ -315,7 +325,7 @@
         for id in list(owned.holdings):
             self._release(id)
 
-    def _service(self, name: str) -> servicequeue.ServiceQueue:
+    def _get_service(self, name: str) -> servicequeue.ServiceQueue:
         service = self._services.get(name)
         if service is None:
             service_ledger = ledger.Ledger(
@@ -339,10 +349,10 @@
             self._grant_service(service)
 
     def _grant_service(self, service: servicequeue.ServiceQueue) -> None:
-        """Grant free slots, lowest score first, until one side runs out."""
+        """Grant free slots, lowest score first, while demand remains."""
         fraction = self._ownership.fraction()
         while True:
-            choice = service.choose(fraction, self._silent)
+            choice = service.choose(fraction, self._unresponsive)
             if choice is None:
                 return
             self._grant(service, choice)
@@ -364,7 +374,7 @@
             granted=self._clock(),
         )
         service.take(demand)
-        self._hold(holding, confirmed=False)
+        self._add_holding(holding, confirmed=False)
         service.ledger.grant(holding.client_account, holding.entry, holding.id)
         self._health.begin(holding.server)
         self._metrics.count('grants', 'granted')
@@ -373,13 +383,13 @@
             service=service.name,
             client_account=demand.client_account,
             server=holding.server,
-            score=service.ledger.read_settled(demand.client_account),
+            score=service.ledger.read_reported(demand.client_account),
         )
         if not self._outbox.send(demand.entry, message):
             self._release(holding.id)
-            self._drop_wants(demand.entry)
+            self._drop_demand(demand.entry)
 
-    def _hold(self, holding: slots.Holding, *, confirmed: bool) -> None:
+    def _add_holding(self, holding: slots.Holding, *, confirmed: bool) -> None:
         self._holdings.add(holding, confirmed=confirmed)
         owned = self._servers.get(holding.server)
         if owned is not None:
@@ -392,51 +402,60 @@
         owned = self._servers.get(holding.server)
         if owned is not None:
             owned.free(id)
-        self._service(holding.service).ledger.release(
+        self._get_service(holding.service).ledger.release(
             holding.client_account, holding.entry, holding.id
         )
         return holding
 
-    # -- entries that fall silent -----------------------------------------
+    # -- unresponsive entries ---------------------------------------------
 
-    def _take_back_unconfirmed(self, now: float) -> None:
-        for holding in self._holdings.list_late(now - _CONFIRM_SECONDS):
-            if holding.entry not in self._silent:
+    def _revoke_unconfirmed(self, now: float) -> None:
+        for holding in self._holdings.list_unconfirmed(now - _CONFIRM_SECONDS):
+            if holding.entry not in self._unresponsive:
                 _LOG.warning('entry_silent', extra={'entry': holding.entry})
-                self._silent[holding.entry] = 0
+                self._unresponsive[holding.entry] = 0
             self._release(holding.id)
             self._metrics.count('grants', 'taken_back')
 
-    def _ask_silent(self) -> None:
-        """Ask silent entries for everything; the answer ends the silence."""
-        for entry in self._silent:
-            self._silent[entry] = self.ask_again(entry)
+    def _restate_unresponsive(self) -> None:
+        """Request the state of unresponsive entries.
+
+        The answer to the latest request marks the entry responsive again.
+        """
+        for entry in self._unresponsive:
+            self._unresponsive[entry] = self.request_restate(entry)
 
-    def ask_again(self, entry: str) -> int:
-        """Ask an entry to tell everything again; return the question."""
-        question = self.build_question()
-        self._outbox.send(entry, question)
-        return question.number
+    def request_restate(self, entry: str) -> int:
+        """Ask an entry to resend its complete state.
+
+        Returns
+        -------
+        int
+            The number of the `Restate` sent.
+        """
+        restate = self.build_question()
+        self._outbox.send(entry, restate)
+        return restate.number
 
     def build_question(self) -> messages.Restate:
-        """Return the message that asks an entry to tell everything again.
+        """Return the message that asks an entry to resend its state.
 
-        It goes first on each new connection to an entry: grants that were
-        under way on the lost one may or may not have arrived.
+        It is the first message on each new connection to an entry: grants
+        in flight on the former connection may or may not have arrived.
         """
-        self._questions += 1
-        return messages.Restate(number=self._questions)
+        self._restate_number += 1
+        return messages.Restate(number=self._restate_number)
 
-    def _forget_dead(self) -> None:
-        for entry in self._incarnations.keys() - self._forgotten:
+    def _remove_dead(self) -> None:
+        for entry in self._incarnations.keys() - self._removed_entries:
             if self._ownership.is_dead(entry):
                 _LOG.info('entry_dead', extra={'entry': entry})
-                self._forgotten.add(entry)
-                self.forget_entry(entry)
+                self._removed_entries.add(entry)
+                self.remove_entry(entry)
 
-    def _drop_wants(self, entry: str) -> None:
+    def _drop_demand(self, entry: str) -> None:
         for service in self._services.values():
-            service.drop_wants(entry)
+            service.drop_entry(entry)
 
     # -- digests ----------------------------------------------------------
 
@@ -452,46 +471,48 @@
             if name != self._settings.instance.name
         ]
         fanout = min(_DIGEST_FANOUT, len(peers))
-        told = self._random.sample(peers, fanout)
+        recipients = self._random.sample(peers, fanout)
         fraction = self._ownership.fraction()
         for service in self._services.values():
             service.ledger.prune(_PRUNE_SECONDS)
             digest = service.build_digest(fraction)
-            for name in told if digest else ():
+            for name in recipients if digest else ():
                 self._outbox.send(name, digest)
 
     # -- messages ---------------------------------------------------------
 
     @functools.singledispatchmethod
-    def _take(self, message: object, sender: str) -> None:
-        """Take one message; kinds for the entry's part are not for here."""
+    def _handle(self, message: object, sender: str) -> None:
+        """Handle one message; types meant for the scheduler are ignored."""
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Want, sender: str) -> None:
         self._holdings.confirm(sender, message.seen)
-        service = self._service(message.service)
+        service = self._get_service(message.service)
         account = message.client_account
-        unseen = self._holdings.count_unseen(sender, message.service, account)
-        service.ledger.know(account, message.hint)
+        unconfirmed = self._holdings.count_unconfirmed(
+            sender, message.service, account
+        )
+        service.ledger.get_or_create(account, message.hint)
         service.ledger.expect(account, message.estimate)
         service.ledger.report(
             account, sender, running=message.running, seen=message.seen
         )
-        began = service.backlog.set(
+        became_backlogged = service.backlog.set(
             sender,
             account,
-            count=message.count - unseen,
+            count=message.count - unconfirmed,
             since=self._clock() - message.age,
             estimate=message.estimate,
             prefer=message.prefer,
         )
-        if began:
+        if became_backlogged:
             service.ledger.begin(account, message.hint)
-        elif not service.backlog.waits(account):
+        elif not service.backlog.has_waiting(account):
             service.ledger.end(account)
         self._grant_service(service)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Finish, sender: str) -> None:
         self._holdings.confirm(sender, message.seen)
         holding = self._release(message.id)
@@ -499,26 +520,26 @@
             return
         outcome = outcomes.Outcome(message.outcome)
         if outcome == outcomes.Outcome.MOVED:
-            self._yield_server(holding.server)
+            self._suspend_grants(holding.server)
             return
         self._health.record(holding.server, outcome)
-        service = self._service(holding.service)
+        service = self._get_service(holding.service)
         if outcome == outcomes.Outcome.UNUSED:
             self._metrics.count('grants', 'unused')
-            service.avoid(holding)
+            service.exclude_declined(holding)
         elif message.pace > 0 and holding.server in self._servers:
             limit = self._servers[holding.server].limit
             limit.observe_pace(message.pace)
         self._grant_service(service)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Charge, sender: str) -> None:
         accounts = self._holder.document.client_accounts
         account = accounts.get(message.client_account)
         if account is None:
             return
         self._holdings.confirm(sender, message.seen)
-        service = self._service(message.service)
+        service = self._get_service(message.service)
         service.ledger.charge(
             account.name,
             sender,
@@ -531,7 +552,7 @@
             account.name, sender, running=message.running, seen=message.seen
         )
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Held, sender: str) -> None:
         if message.id in self._holdings:
             return
@@ -544,22 +565,22 @@
             estimate=message.estimate,
             granted=self._clock(),
         )
-        self._hold(holding, confirmed=True)
+        self._add_holding(holding, confirmed=True)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Reset, sender: str) -> None:
         self._holdings.confirm(sender, message.seen)
-        self._drop_wants(sender)
+        self._drop_demand(sender)
         for id in self._holdings.list_confirmed(sender):
             self._release(id)
-        if self._silent.get(sender, 0) == message.answers:
-            self._silent.pop(sender, None)
+        if self._unresponsive.get(sender, 0) == message.answers:
+            self._unresponsive.pop(sender, None)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Confirm, sender: str) -> None:
         self._holdings.confirm(sender, message.seen)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Digest, sender: str) -> None:
         service = self._services.get(message.service)
         if service is not None and not service.backlog:
--- a/src/amaranthslip/shares/estimates.py
+++ b/src/amaranthslip/shares/estimates.py
@@ -1,14 +1,15 @@
-"""Estimates of what a request will cost, learnt from what others cost."""
+"""Estimates of request cost, learnt from completed requests."""
 
 _LEARNING_RATE = 0.2
-_MOST_KEPT = 20000
+_MAX_MEANS = 20000
 
 
 class Estimator:
-    """Moving means of cost for each client account and kind of request.
+    """Exponential moving averages of cost by client account and kind.
 
-    Nothing a caller says enters the estimate, so an account gains nothing
-    by naming low sizes; the kind's configured estimate is only a start.
+    Callers' own statements of size are ignored, so that an account cannot
+    improve its position by understating them. The estimate configured for
+    the kind of request is only the initial value.
     """
 
     __slots__ = ('_means', '_holder')
@@ -29,7 +30,7 @@
         return start + prompt_tokens
 
     def learn(self, client_account: str, kind: str, tokens: float) -> None:
-        """Take the actual cost of a request that ran to its end."""
+        """Update the average with the cost of a completed request."""
         key = (client_account, kind)
         mean = self._means.pop(key, None)
         if mean is None:
@@ -37,5 +38,5 @@
         else:
             mean += _LEARNING_RATE * (tokens - mean)
         self._means[key] = mean
-        if len(self._means) > _MOST_KEPT:
+        if len(self._means) > _MAX_MEANS:
             del self._means[next(iter(self._means))]
--- a/src/amaranthslip/shares/holdings.py
+++ b/src/amaranthslip/shares/holdings.py
@@ -1,10 +1,10 @@
-"""The grants that a dispatcher knows of, by number and by entry."""
+"""The active grants known to a dispatcher, by id and by entry."""
 
 from amaranthslip.capacity import slots
 
 
 class Holdings:
-    """Slots in use at owned servers, and which grants entries confirmed."""
+    """Slots in use, and the grants that entries have not confirmed yet."""
 
     __slots__ = ('_by_id', '_unconfirmed')
 
@@ -13,29 +13,29 @@
         self._unconfirmed: dict[str, dict[int, slots.Holding]] = {}
 
     def add(self, holding: slots.Holding, *, confirmed: bool) -> None:
-        """Note a slot in use."""
+        """Add a slot in use."""
         self._by_id[holding.id] = holding
         if not confirmed:
             entry = self._unconfirmed.setdefault(holding.entry, {})
             entry[holding.id] = holding
 
     def remove(self, id: int) -> slots.Holding | None:
-        """Forget a slot in use; None if it was not known."""
+        """Remove and return a slot in use; None if the id is unknown."""
         holding = self._by_id.pop(id, None)
         if holding is not None:
             self._unconfirmed.get(holding.entry, {}).pop(id, None)
         return holding
 
     def confirm(self, entry: str, seen: int) -> None:
-        """Note that grants up to `seen` reached the entry."""
+        """Mark the grants up to id `seen` as received by the entry."""
         unconfirmed = self._unconfirmed.get(entry, {})
         for id in [id for id in unconfirmed if id <= seen]:
             del unconfirmed[id]
 
-    def count_unseen(
+    def count_unconfirmed(
         self, entry: str, service: str, client_account: str
     ) -> int:
-        """Return how many grants for an account the entry has not seen."""
+        """Count an account's grants that the entry has not confirmed."""
         return sum(
             1
             for holding in self._unconfirmed.get(entry, {}).values()
@@ -44,11 +44,11 @@
         )
 
     def has_unconfirmed(self, entry: str) -> bool:
-        """Return whether a grant to the entry waits for confirmation."""
+        """Return whether a grant to the entry is unconfirmed."""
         return bool(self._unconfirmed.get(entry))
 
     def list_confirmed(self, entry: str) -> list[int]:
-        """Return the numbers of an entry's grants that it confirmed."""
+        """Return the ids of the grants that an entry has confirmed."""
         unconfirmed = self._unconfirmed.get(entry, {})
         return [
             holding.id
@@ -57,7 +57,7 @@
         ]
 
     def list_entry(self, entry: str) -> list[int]:
-        """Return the numbers of all an entry's grants."""
+        """Return the ids of all grants of an entry."""
         return [
             holding.id
             for holding in self._by_id.values()
@@ -65,15 +65,15 @@
         ]
 
     def list_server(self, server: str) -> list[slots.Holding]:
-        """Return all grants of a backend server."""
+        """Return all grants for a backend server."""
         return [
             holding
             for holding in self._by_id.values()
             if holding.server == server
         ]
 
-    def list_late(self, before: float) -> list[slots.Holding]:
-        """Return unconfirmed grants that were made before a moment."""
+    def list_unconfirmed(self, before: float) -> list[slots.Holding]:
+        """Return unconfirmed grants that were made before a time."""
         return [
             holding
             for entry in self._unconfirmed.values()
--- a/src/amaranthslip/shares/leases.py
+++ b/src/amaranthslip/shares/leases.py
@@ -1,4 +1,4 @@
-"""Leases: the slots that an entry holds, one for each running request."""
+"""Leases of slots that an entry holds, one for each running request."""
 
 import time
 import typing
@@ -9,8 +9,8 @@
 from amaranthslip.shares import lines
 
 
-class Keeper(typing.Protocol):
-    """Who is told of what a lease delivers, and of its end."""
+class LeaseManager(typing.Protocol):
+    """Receives the delivered tokens and the end of a lease."""
 
     def charge(self, line: lines.Line, tokens: float) -> None:
         """Count delivered tokens."""
@@ -20,7 +20,10 @@
 
 
 class SlotLease:
-    """A slot of a backend server, held for one request; see `Grant`."""
+    """A slot of a backend server, held for one request; see `Grant`.
+
+    `holder` is the dispatcher that currently counts the slot.
+    """
 
     __slots__ = (
         'id',
@@ -28,7 +31,7 @@
         'backend_server',
         'holder',
         'line',
-        '_keeper',
+        '_manager',
         '_first_at',
         '_last_at',
         '_tokens',
@@ -36,7 +39,7 @@
 
     def __init__(
         self,
-        keeper: Keeper,
+        manager: LeaseManager,
         line: lines.Line,
         ticket: tickets.Ticket,
         backend_server: document.BackendServer,
@@ -48,7 +51,7 @@
         self.ticket = ticket
         self.backend_server = backend_server
         self.holder = holder
-        self._keeper = keeper
+        self._manager = manager
         self.line = line
         self._first_at = 0.0
         self._last_at = 0.0
@@ -62,11 +65,11 @@
         else:
             self._first_at = now
         self._last_at = now
-        self._keeper.charge(self.line, tokens)
+        self._manager.charge(self.line, tokens)
 
     def finish(self, outcome: outcomes.Outcome) -> None:
-        """Return the slot; the first call counts."""
-        self._keeper.finish(self, outcome)
+        """Return the slot; only the first call has an effect."""
+        self._manager.finish(self, outcome)
 
     @property
     def service(self) -> str:
@@ -80,7 +83,7 @@
 
     @property
     def pace(self) -> float:
-        """Mean seconds between tokens, zero where it is not known."""
+        """Mean time between tokens in seconds, zero if unknown."""
         if self._tokens <= 0:
             return 0.0
         return (self._last_at - self._first_at) / self._tokens
--- a/src/amaranthslip/shares/ledger.py
+++ b/src/amaranthslip/shares/ledger.py
@@ -1,33 +1,45 @@
-"""The ledger: how much service each client account had, as scores.
+"""Scores of client accounts: the service received, divided by the share.
 
-A score is service in tokens divided by the client account's share. The
-dispatcher serves the lowest score first, as in the virtual token counters
-of Sheng et al., "Fairness in Serving Large Language Models" (OSDI 2024);
-here the counters are fed by many entries while their streams run.
+Service is measured in tokens. The dispatcher serves the lowest score first,
+as in the virtual token counters of Sheng et al., "Fairness in Serving Large
+Language Models" (OSDI 2024). Here many entries update the counters while
+responses are streamed.
 """
 
 import time
 import typing
 
-# Two whole requests of the largest size that the users name (32,000 tokens):
-# after a partition heals, nobody is held back for more than that.
+# Largest amount of service added to a score by one report: two requests of
+# the largest size in the user requirements (32,000 tokens). After a partition
+# heals, an account waits for others to catch up by no more than this.
 CATCH_UP_TOKENS = 64000.0
-# How long hints of several entries are compared after an account is met.
+# How long a new record may still be raised to a higher hint of another entry.
 REBUILD_SECONDS = 1.0
-# An account whose queue was empty for less than this keeps its score: a
-# closed loop of callers empties it for moments without being idle.
+# An account whose queue was empty for less than this time is not treated as
+# idle and keeps its score: callers that send the next request after the last
+# response leave the queue empty for moments.
 IDLE_GRACE_SECONDS = 1.0
 
 
-class Standing:
-    """One client account at one service: its score and who reported it.
+class AccountRecord:
+    """The score of one client account at one service, and its inputs.
 
     Attributes
     ----------
     score : float
-        Settled service divided by the share, in tokens.
+        Reported service divided by the share, in tokens.
     estimate : float
-        What one of the account's requests may cost, in tokens.
+        Expected cost of one request of the account, in tokens.
+    totals : dict
+        Delivered tokens by reporting entry, since the entry started.
+    running : dict
+        Requests in progress by entry, as the entry last reported them.
+    unreported : dict
+        Ids of grants by entry that its last report does not include.
+    created_at : float
+        When the record was created, in monotonic seconds.
+    idle_since : float or None
+        When the last waiting request left, or None while requests wait.
     """
 
     __slots__ = (
@@ -36,7 +48,7 @@
         'totals',
         'running',
         'unreported',
-        'known_since',
+        'created_at',
         'idle_since',
     )
 
@@ -46,35 +58,36 @@
         self.totals: dict[str, float] = {}
         self.running: dict[str, int] = {}
         self.unreported: dict[str, set[int]] = {}
-        self.known_since = now
+        self.created_at = now
         self.idle_since: float | None = now
 
     def count_running(self) -> int:
-        """Return the account's requests in progress, at all dispatchers."""
+        """Return the account's requests in progress, for all dispatchers."""
         unreported = sum(len(ids) for ids in self.unreported.values())
         return sum(self.running.values()) + unreported
 
-    def forget(self, entry: str) -> None:
-        """Drop what an entry reported."""
+    def drop_running_of(self, entry: str) -> None:
+        """Drop the requests in progress of an entry."""
         self.running.pop(entry, None)
         self.unreported.pop(entry, None)
 
 
 class Ledger:
-    """The standings of one service's client accounts at one dispatcher.
+    """The account records of one service at one dispatcher.
 
     Parameters
     ----------
     commit_tokens : float
-        What a request in progress counts at most, beside what it delivered.
-        About what a slot delivers until that is reported: more would count
-        tokens that are minutes away, and hold accounts with large requests
-        back; none would give every free slot to one account at once.
+        Upper limit, in tokens, of what a request in progress adds to the
+        score on top of its delivered tokens. It should be close to what a
+        slot delivers between two reports. A larger value counts tokens that
+        are delivered minutes later and delays accounts with large requests;
+        zero would grant every free slot to a single account at once.
     clock : callable
         Seconds, monotonic.
     """
 
-    __slots__ = ('_standings', '_clock', 'commit_tokens', 'level')
+    __slots__ = ('_records', '_clock', 'commit_tokens', 'level')
 
     def __init__(
         self,
@@ -82,7 +95,7 @@
         commit_tokens: float,
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
-        self._standings: dict[str, Standing] = {}
+        self._records: dict[str, AccountRecord] = {}
         self._clock = clock
         self.commit_tokens = commit_tokens
         self.level = 0.0
@@ -90,98 +103,100 @@
     def read_score(
         self, client_account: str, share: float, *, phase: float = 0.0
     ) -> float:
-        """Return settled service and what is in progress, by share.
+        """Return reported service and work in progress, divided by share.
 
         Parameters
         ----------
         phase : float
-            This dispatcher's place among the account's homes, from 0 to 1.
-            In a burst dispatchers don't yet see one another's grants;
-            counting that part of one more request makes their whole slots
-            add up to what is due. With equal phases each of eight homes
-            would give a small account its first slot at once.
+            Relative position of this dispatcher among the account's homes,
+            from 0 to 1, added to the number of requests in progress. During
+            a burst dispatchers have not yet received each other's latest
+            counts; with different phases the whole slots that they grant add
+            up to the account's share. With equal phases each of eight homes
+            would grant a small account its first slot at the same time.
         """
-        standing = self._standings[client_account]
-        expected = min(standing.estimate, self.commit_tokens)
-        in_progress = standing.count_running() + phase
-        return standing.score + expected * in_progress / share
-
-    def read_settled(self, client_account: str) -> float:
-        """Return settled service divided by the share."""
-        standing = self._standings.get(client_account)
-        return standing.score if standing else 0.0
-
-    def know(self, client_account: str, hint: float) -> Standing:
-        """Return the standing; a new one starts from what others hold.
-
-        A dispatcher that lost its memory would else take every account for
-        unserved, and the newest one for as far behind as all the rest; the
-        entries carry the last score that any dispatcher named.
+        record = self._records[client_account]
+        expected = min(record.estimate, self.commit_tokens)
+        in_progress = record.count_running() + phase
+        return record.score + expected * in_progress / share
+
+    def read_reported(self, client_account: str) -> float:
+        """Return reported service divided by the share."""
+        record = self._records.get(client_account)
+        return record.score if record else 0.0
+
+    def get_or_create(self, client_account: str, hint: float) -> AccountRecord:
+        """Return the record; a new one starts at the hint or the level.
+
+        `hint` is the highest score that any dispatcher has sent to the
+        entry. A dispatcher that restarted without its records would otherwise
+        treat every account as unserved, and count the newest one as far
+        behind as all others.
         """
-        standing = self._standings.get(client_account)
-        if standing is None:
-            standing = Standing(max(hint, self.level), self._clock())
-            self._standings[client_account] = standing
-        elif self._clock() - standing.known_since < REBUILD_SECONDS:
-            # Entries know scores of different ages; the highest is right.
-            standing.score = max(standing.score, hint)
-        return standing
+        record = self._records.get(client_account)
+        if record is None:
+            record = AccountRecord(max(hint, self.level), self._clock())
+            self._records[client_account] = record
+        elif self._clock() - record.created_at < REBUILD_SECONDS:
+            # Entries hold scores of different ages; the highest is the latest.
+            record.score = max(record.score, hint)
+        return record
 
     def expect(self, client_account: str, estimate: float) -> None:
-        """Note what one of the account's requests may cost, in tokens."""
-        # An entry that has had no request yet tells zero. Taken as it is,
-        # slots in use would count nothing, and the account would be given
-        # every slot that comes free until its tokens are reported.
+        """Set the expected cost of one request of the account, in tokens."""
+        # An entry without any request so far reports zero. Stored as the
+        # estimate, zero would exclude slots in use from the score, and the
+        # account would get every free slot until its tokens are reported.
         if estimate > 0:
-            self.know(client_account, 0.0).estimate = estimate
+            self.get_or_create(client_account, 0.0).estimate = estimate
 
     def begin(self, client_account: str, hint: float) -> None:
-        """Note that an account has requests waiting.
+        """Mark an account as backlogged.
 
-        After idleness it is lifted to the least score among the backlogged
-        accounts, so that idleness banks no credit.
+        After an idle time its score is raised to the lowest score among the
+        backlogged accounts, so that an idle account accumulates no credit.
         """
-        standing = self.know(client_account, hint)
-        idle_since, standing.idle_since = standing.idle_since, None
-        if idle_since is None or standing.count_running():
+        record = self.get_or_create(client_account, hint)
+        idle_since, record.idle_since = record.idle_since, None
+        if idle_since is None or record.count_running():
             return
         if self._clock() - idle_since >= IDLE_GRACE_SECONDS:
-            standing.score = max(standing.score, self.level)
+            record.score = max(record.score, self.level)
 
     def end(self, client_account: str) -> None:
-        """Note that an account has no request waiting here any more."""
-        standing = self._standings.get(client_account)
-        if standing is not None and standing.idle_since is None:
-            standing.idle_since = self._clock()
+        """Mark an account as no longer backlogged at this dispatcher."""
+        record = self._records.get(client_account)
+        if record is not None and record.idle_since is None:
+            record.idle_since = self._clock()
 
     def grant(self, client_account: str, entry: str, id: int) -> None:
-        """Count a slot that was granted here and not reported yet."""
-        standing = self.know(client_account, 0.0)
-        standing.unreported.setdefault(entry, set()).add(id)
+        """Count a granted slot until the entry reports it as running."""
+        record = self.get_or_create(client_account, 0.0)
+        record.unreported.setdefault(entry, set()).add(id)
 
     def release(self, client_account: str, entry: str, id: int) -> None:
-        """Count a slot that came back."""
-        standing = self.know(client_account, 0.0)
-        unreported = standing.unreported.get(entry, set())
+        """Stop counting a slot that was returned."""
+        record = self.get_or_create(client_account, 0.0)
+        unreported = record.unreported.get(entry, set())
         if id in unreported:
             unreported.discard(id)
-        elif standing.running.get(entry, 0) > 0:
-            standing.running[entry] -= 1
+        elif record.running.get(entry, 0) > 0:
+            record.running[entry] -= 1
 
     def report(
         self, client_account: str, entry: str, *, running: int, seen: int
     ) -> None:
-        """Take an entry's count of the account's requests in progress.
+        """Store an entry's count of the account's requests in progress.
 
-        It covers the grants of all dispatchers, and of this one those up to
-        `seen`. Dispatchers that counted their own grants only would each
-        take an account's part of the slots for too small.
+        The count covers the grants of all dispatchers, and those of this one
+        up to id `seen`. Dispatchers that counted only their own grants would
+        each underestimate the slots that the account uses.
         """
-        standing = self.know(client_account, 0.0)
-        standing.running[entry] = running
-        unreported = standing.unreported.get(entry)
+        record = self.get_or_create(client_account, 0.0)
+        record.running[entry] = running
+        unreported = record.unreported.get(entry)
         if unreported:
-            standing.unreported[entry] = {id for id in unreported if id > seen}
+            record.unreported[entry] = {id for id in unreported if id > seen}
 
     def charge(
         self,
@@ -193,41 +208,41 @@
         base: float,
         hint: float,
     ) -> None:
-        """Take a reporter's total of delivered tokens.
+        """Add newly delivered tokens, given the total of a reporting entry.
 
-        Totals only grow, so a repeated or late report changes nothing. What
-        was delivered while the reporter could not be heard counts at most
-        `CATCH_UP_TOKENS`: without that limit an hour's partition would
-        starve the account that was served on its other side for as long.
+        Totals only grow, so a repeated or late report changes nothing. One
+        report adds at most `CATCH_UP_TOKENS`. Without that limit, after a
+        partition of an hour, an account that was served on the other side
+        would get no service here for as long.
         """
-        standing = self.know(client_account, hint)
-        known = standing.totals.get(reporter, base)
-        standing.totals[reporter] = max(known, total)
+        record = self.get_or_create(client_account, hint)
+        known = record.totals.get(reporter, base)
+        record.totals[reporter] = max(known, total)
         delivered = min(max(0.0, total - known), CATCH_UP_TOKENS)
-        standing.score += delivered / share
+        record.score += delivered / share
 
-    def forget_reporter(self, reporter: str) -> None:
-        """Drop a reporter's totals: it restarted and counts from zero."""
-        for standing in self._standings.values():
-            standing.totals.pop(reporter, None)
+    def drop_reporter(self, reporter: str) -> None:
+        """Drop the totals of an entry that restarted and counts from zero."""
+        for record in self._records.values():
+            record.totals.pop(reporter, None)
 
-    def forget_running(self, entry: str) -> None:
-        """Drop an entry's requests in progress: they ended with it."""
-        for standing in self._standings.values():
-            standing.forget(entry)
+    def drop_running(self, entry: str) -> None:
+        """Drop the requests in progress of an entry that has ended."""
+        for record in self._records.values():
+            record.drop_running_of(entry)
 
     def raise_level(self, level: float) -> None:
-        """Raise the level that returning accounts are lifted to."""
+        """Raise the minimum score of accounts that return from idleness."""
         self.level = max(self.level, level)
 
     def prune(self, idle_seconds: float) -> None:
-        """Forget accounts that were idle for longer than `idle_seconds`."""
+        """Remove accounts that were idle for longer than `idle_seconds`."""
         since = self._clock() - idle_seconds
-        for name, standing in list(self._standings.items()):
-            idle_since = standing.idle_since
+        for name, record in list(self._records.items()):
+            idle_since = record.idle_since
             if idle_since is not None and idle_since < since:
-                if not standing.count_running():
-                    del self._standings[name]
+                if not record.count_running():
+                    del self._records[name]
 
     def __len__(self) -> int:
-        return len(self._standings)
+        return len(self._records)
--- a/src/amaranthslip/shares/lines.py
+++ b/src/amaranthslip/shares/lines.py
@@ -1,4 +1,4 @@
-"""Lines: one client account's requests at one entry, for one service."""
+"""Request queues of an entry, one for each service and client account."""
 
 import collections
 import time
@@ -10,15 +10,15 @@
 from amaranthslip import errors
 from amaranthslip.requests import tickets
 
-# A request may be passed over this often by younger ones of its own account
-# whose prompt prefix the offered server holds.
-_MOST_BYPASSES = 8
-_WINDOW = 8
-_RATE = 0.2
+# How often later requests of the same account whose prompt prefix the offered
+# server likely caches may be served before a request.
+_MAX_BYPASSES = 8
+_LOOKAHEAD = 8
+_SMOOTHING_FACTOR = 0.2
 
 
 class Waiter:
-    """One request in its line, until it is granted or refused."""
+    """A queued request, until it gets a slot or is refused."""
 
     __slots__ = ('ticket', 'granted', 'bypassed', 'enqueued')
 
@@ -30,11 +30,11 @@
 
 
 class Told:
-    """What one dispatcher was told of a line, and what it makes of it.
+    """The state of a queue that was last reported to one dispatcher.
 
-    `count` is the backlog that the dispatcher believes in, `total` the
-    delivered service and `running` the requests in progress that it was
-    told.
+    `count` is the reported backlog less the grants received since, `total`
+    the reported service in tokens and `running` the reported number of
+    requests in progress.
     """
 
     __slots__ = ('count', 'total', 'running')
@@ -46,7 +46,14 @@
 
 
 class Line:
-    """The waiting requests of one client account at one service."""
+    """The waiting requests of one client account for one service.
+
+    `total` is the service delivered in tokens, `running` the number of
+    requests that hold slots, `estimate` the expected cost of one request in
+    tokens, `hint` the highest score received, `told` the reported state by
+    dispatcher, `extras` the dispatchers outside the homes that demand is
+    reported to, and `interval` the mean time between grants in seconds.
+    """
 
     __slots__ = (
         'service',
@@ -84,20 +91,20 @@
         self._last_grant = 0.0
 
     def find_told(self, dispatcher: str) -> Told:
-        """Return what a dispatcher was told; nothing yet, if it is new."""
+        """Return the reported state; a new dispatcher starts at no backlog."""
         told = self.told.get(dispatcher)
         if told is None:
             told = self.told[dispatcher] = Told(self.total)
         return told
 
-    def join(self, ticket: tickets.Ticket) -> Waiter:
-        """Add a request at the end."""
+    def append(self, ticket: tickets.Ticket) -> Waiter:
+        """Append a request to the queue."""
         waiter = Waiter(ticket, self._clock())
         self.waiters.append(waiter)
         return waiter
 
-    def leave(self, waiter: Waiter) -> None:
-        """Take a request out; nothing if it is not there any more."""
+    def remove(self, waiter: Waiter) -> None:
+        """Remove a request; has no effect if it has left the queue."""
         try:
             self.waiters.remove(waiter)
         except ValueError:
@@ -106,36 +113,36 @@
     def pop(
         self, server: str, known: prefixes.Prefixes | None
     ) -> Waiter | None:
-        """Take the request that best uses a slot of a server, or None.
+        """Remove and return the best request for a slot, or None.
 
-        Among the account's oldest requests it is the one whose prompt
-        prefix the server likely holds: that choice costs no other account
-        anything.
+        Among the oldest requests of the account, this is the one with the
+        longest prompt prefix that the server likely caches. The choice does
+        not affect other accounts.
         """
         usable = [
             waiter
-            for waiter in list(self.waiters)[:_WINDOW]
+            for waiter in list(self.waiters)[:_LOOKAHEAD]
             if server not in waiter.ticket.excluded
         ]
         if not usable:
             return None
-        chosen = self._prefer(server, usable, known)
+        chosen = self._choose_waiter(server, usable, known)
         for waiter in usable:
             if waiter is chosen:
                 break
             waiter.bypassed += 1
         self.waiters.remove(chosen)
-        self._note_rate()
+        self._update_interval()
         return chosen
 
     def age(self) -> float:
-        """Return how long the oldest request has waited, in seconds."""
+        """Return the wait of the oldest request in seconds."""
         if not self.waiters:
             return 0.0
         return self._clock() - self.waiters[0].enqueued
 
     def predict_wait(self) -> float:
-        """Return the likely wait of one more request, in seconds."""
+        """Return the expected wait of a new request in seconds."""
         return self.interval * len(self.waiters)
 
     def refuse_all(self, error: errors.RequestRefused) -> None:
@@ -143,18 +150,18 @@
         while self.waiters:
             self.waiters.popleft().granted.set_exception(error)
 
-    def hear(self, score: float) -> None:
-        """Keep the highest score of the account that was heard of."""
+    def observe_score(self, score: float) -> None:
+        """Keep the highest score received for the account."""
         self.hint = max(self.hint, score)
 
-    def _prefer(
+    def _choose_waiter(
         self,
         server: str,
         usable: typing.Sequence[Waiter],
         known: prefixes.Prefixes | None,
     ) -> Waiter:
         first = usable[0]
-        if known is None or first.bypassed >= _MOST_BYPASSES:
+        if known is None or first.bypassed >= _MAX_BYPASSES:
             return first
         return max(
             usable,
@@ -163,9 +170,9 @@
             ),
         )
 
-    def _note_rate(self) -> None:
+    def _update_interval(self) -> None:
         now = self._clock()
         if self._last_grant and self.waiters:
             elapsed = now - self._last_grant
-            self.interval += _RATE * (elapsed - self.interval)
+            self.interval += _SMOOTHING_FACTOR * (elapsed - self.interval)
         self._last_grant = now
--- a/src/amaranthslip/shares/messages.py
+++ b/src/amaranthslip/shares/messages.py
@@ -1,19 +1,20 @@
-"""What entries and dispatchers tell one another.
+"""Messages between entries and dispatchers.
 
-An instance is both: as an entry it holds callers' requests, as a dispatcher
-it owns the slots of some backend servers.
+Every instance has both roles: as an entry it holds callers' requests, as a
+dispatcher it owns the slots of some backend servers.
 """
 
 
 class Want:
-    """An entry's queue of one client account, as a count of requests.
+    """The number of requests of a client account that wait at an entry.
 
     `age` is the oldest request's wait in seconds, `hint` the highest score
-    of the client account that the entry heard of, `seen` the last grant that
-    reached the entry from the dispatcher it tells, `estimate` what one of the
-    requests may cost, in tokens, `prefer` the backend server that likely holds
-    the oldest request's prompt prefix, and `running` how many of the client
-    account's requests hold slots through this entry.
+    of the client account that the entry received, `seen` the id of the last
+    grant that the entry received from the addressed dispatcher, `estimate`
+    the expected cost of one request in tokens, `prefer` the backend server
+    that likely caches the oldest request's prompt prefix, and `running` the
+    number of the client account's requests that hold slots through this
+    entry.
     """
 
     __slots__ = (
@@ -55,8 +56,8 @@
 class SlotGrant:
     """The right to one slot of a backend server, for one client account.
 
-    It names no request: the entry picks which of the client account's
-    requests goes, or returns the slot unused.
+    A grant names no request. The entry selects one of the client account's
+    requests for the slot, or returns the slot unused.
     """
 
     __slots__ = ('id', 'service', 'client_account', 'server', 'score')
@@ -78,7 +79,10 @@
 
 
 class Finish:
-    """A slot returns; `pace` is seconds between tokens, zero if unknown."""
+    """The return of a slot.
+
+    `pace` is the mean time between tokens in seconds, zero if unknown.
+    """
 
     __slots__ = ('id', 'outcome', 'pace', 'seen')
 
@@ -94,8 +98,9 @@
 class Charge:
     """Service that an entry delivered to a client account since it started.
 
-    `total` only grows, so that telling it twice is harmless; `base` is what
-    the entry takes the dispatcher to know already; `running` and `seen` are
+    `total` only grows, so that a repeated message has no effect. `base` is
+    the total that the entry last reported to the dispatcher; a dispatcher
+    without a record of the entry counts from there. `running` and `seen` are
     as in `Want`.
     """
 
@@ -130,7 +135,7 @@
 
 
 class Held:
-    """A slot that an entry holds, told to the server's present owner."""
+    """A slot that an entry holds, reported to the server's current owner."""
 
     __slots__ = ('id', 'service', 'client_account', 'server', 'estimate')
 
@@ -151,10 +156,11 @@
 
 
 class Reset:
-    """What follows is all that the entry has: forget what it told before.
+    """The start of an entry's complete state, which replaces earlier reports.
 
-    Grants up to `seen` that are not told again have ended. `answers` is the
-    number of the `Restate` that asked for it, or zero.
+    Grants up to id `seen` that the entry does not report again have ended.
+    `answers` is the number of the `Restate` that requested the state, or
+    zero.
     """
 
     __slots__ = ('seen', 'answers')
@@ -165,7 +171,7 @@
 
 
 class Restate:
-    """A dispatcher asks an entry to tell everything again."""
+    """A dispatcher's request that an entry resend its complete state."""
 
     __slots__ = ('number',)
 
@@ -174,7 +180,7 @@
 
 
 class Confirm:
-    """The last grant that reached the entry."""
+    """The id of the last grant that the entry received."""
 
     __slots__ = ('seen',)
 
@@ -183,7 +189,11 @@
 
 
 class Digest:
-    """One service at one dispatcher: its level, free slots and backlog."""
+    """The state of one service at one dispatcher.
+
+    `level` is the lowest score of the backlogged accounts, `free` the number
+    of free slots and `backlog` the number of waiting requests.
+    """
 
     __slots__ = ('service', 'level', 'free', 'backlog')
 
@@ -197,7 +207,7 @@
 
 
 class Own:
-    """A dispatcher took a backend server over, and asks who holds slots."""
+    """A new owner's request to report the slots held at a backend server."""
 
     __slots__ = ('server',)
 
--- a/src/amaranthslip/shares/ownership.py
+++ b/src/amaranthslip/shares/ownership.py
@@ -1,8 +1,9 @@
-"""Ownership: which instance dispatches for which backend server.
+"""Assignment of backend servers to the instances that dispatch for them.
 
-Every instance works it out alone, by rendezvous hashing over the members it
-believes alive. Two that disagree for a while both dispatch: slots and load
-reports bound what that costs, and nothing else rests on it.
+Every instance computes the owners independently, by rendezvous hashing over
+the members that it considers alive. Instances with different member lists may
+both dispatch for one server for a while. Slot counts and load reports limit
+the resulting overload, and nothing else depends on a single owner.
 """
 
 import functools
@@ -18,19 +19,19 @@
 
 
 class FleetPolicy:
-    """Many dispatchers: each owns some backend servers."""
+    """Distributed dispatch: each instance owns some backend servers."""
 
     __slots__ = ()
 
 
 class SinglePolicy:
-    """One dispatcher for each service: a baseline for measurements."""
+    """One dispatcher for each service, as a baseline for benchmarks."""
 
     __slots__ = ()
 
 
 class LocalPolicy:
-    """Each entry dispatches for itself over its part of every server."""
+    """Each entry dispatches its own requests to its part of every server."""
 
     __slots__ = ('name',)
 
@@ -75,10 +76,20 @@
 
 @functools.singledispatch
 def divide(policy: object, live: int, lost: int) -> float:
-    """Return the part of each server's slots that is this side's for sure.
+    """Return the guaranteed part of each server's slots.
 
-    With all members heard it is everything. Cut off from some, it is the
-    fair part; load reports show whether the others use theirs.
+    With all members reachable this is 1. During a partition it is the
+    proportion of reachable members; load reports show whether the unreachable
+    members use the rest.
+
+    Parameters
+    ----------
+    policy : object
+        The dispatch policy.
+    live : int
+        Number of members that are reachable.
+    lost : int
+        Number of members that became unreachable lately.
     """
     return live / (live + lost)
 
@@ -89,7 +100,7 @@
 
 
 class Ownership:
-    """The present owners of backend servers, and client accounts' homes.
+    """The current owners of backend servers and homes of client accounts.
 
     Parameters
     ----------
@@ -107,7 +118,7 @@
     name : str
         This instance.
     generation : int
-        Grows when owners may have changed.
+        Incremented whenever owners may have changed.
     """
 
     __slots__ = (
@@ -116,13 +127,13 @@
         '_holder',
         '_policy',
         '_clock',
-        '_stamp',
+        '_generations',
         '_alive',
         '_owners',
         '_document',
         '_homes',
         '_phases',
-        '_lost',
+        '_lost_at',
         'name',
         'generation',
     )
@@ -141,28 +152,34 @@
         self._holder = holder
         self._clock = clock
         self._policy = build_policy(settings)
-        self._stamp: tuple[int, int] | None = None
+        self._generations: tuple[int, int] | None = None
         self._alive: dict[str, members.Member] = {}
         self._owners: dict[str, str] = {}
         self._document: document.Document | None = None
         self._homes: dict[tuple[str, str], tuple[str, ...]] = {}
         self._phases: dict[tuple[str, str], float] = {}
-        self._lost: dict[str, float] = {}
+        self._lost_at: dict[str, float] = {}
         self.generation = 0
 
     @property
     def is_local(self) -> bool:
-        """Whether each entry dispatches for itself only."""
+        """Whether each entry dispatches only its own requests."""
         return isinstance(self._policy, LocalPolicy)
 
     def refresh(self) -> bool:
-        """Work owners out again if members or configuration changed."""
-        stamp = (self._roster.generation, self._holder.generation)
-        if stamp == self._stamp:
+        """Recompute owners if members or the configuration changed.
+
+        Returns
+        -------
+        bool
+            Whether anything had changed.
+        """
+        generations = (self._roster.generation, self._holder.generation)
+        if generations == self._generations:
             return False
-        self._stamp = stamp
+        self._generations = generations
         before = dict(self._alive)
-        self._note_members()
+        self._update_members()
         self._homes.clear()
         self._phases.clear()
         self._assign_owners(before)
@@ -170,27 +187,27 @@
         return True
 
     def _assign_owners(self, before: dict[str, members.Member]) -> None:
-        """Work out owners, and only those that the change can touch.
+        """Compute the owners that a change of members can affect.
 
         Ranking 2,000 servers over a region's members takes a tenth of a
-        second, in which no stream is relayed; a member that came or went
-        touches a few.
+        second, during which no stream is relayed. A single member that joins
+        or leaves changes the owners of only a few servers.
         """
         configuration = self._holder.document
-        came = [name for name in self._alive if name not in before]
-        same = configuration is self._document and len(came) <= 1
+        joined = [name for name in self._alive if name not in before]
+        reusable = configuration is self._document and len(joined) <= 1
         self._document = configuration
         owners = {}
         for server in configuration.backend_servers.values():
-            owner = self._owners.get(server.name) if same else None
-            if owner in self._alive and _is_near(
+            owner = self._owners.get(server.name) if reusable else None
+            if owner in self._alive and _is_same_region(
                 self._alive[owner], server, configuration
             ):
-                names = {owner, *came}
+                names = {owner, *joined}
             else:
                 names = set(self._alive)
             owners[server.name] = pick_owner(
-                self._policy, server, self._candidates(server, names)
+                self._policy, server, self._list_candidates(server, names)
             )
         self._owners = owners
 
@@ -220,10 +237,11 @@
         }
 
     def homes(self, service: str, client_account: str) -> tuple[str, ...]:
-        """Return the dispatchers where a client account queues, in order.
+        """Return the dispatchers that schedule a client account, in order.
 
-        They are the owners of the servers that rank highest for the
-        account, so that dispatchers have accounts as they have servers.
+        The homes are the owners of the servers that rank highest for the
+        account, so that accounts are distributed over dispatchers in
+        proportion to the servers that they own.
         """
         self.refresh()
         key = (service, client_account)
@@ -233,7 +251,10 @@
         return homes
 
     def find_phase(self, service: str, client_account: str) -> float:
-        """Return this instance's place among an account's homes, 0 to 1."""
+        """Return this instance's relative position among an account's homes.
+
+        The position is between 0 and 1, and 1 outside the homes.
+        """
         self.refresh()
         key = (service, client_account)
         phase = self._phases.get(key)
@@ -246,7 +267,7 @@
         return phase
 
     def list_alive(self) -> tuple[str, ...]:
-        """Return the names of the members believed alive, in order."""
+        """Return the names of the members considered alive, in order."""
         self.refresh()
         return tuple(self._alive)
 
@@ -256,10 +277,13 @@
         return member is None or member.state == members.MemberState.DEAD
 
     def fraction(self) -> float:
-        """Return this side's sure part of each server's slots."""
+        """Return the guaranteed part of each server's slots.
+
+        Members that became unreachable count for `_LOST_SECONDS`.
+        """
         self.refresh()
         since = self._clock() - _LOST_SECONDS
-        lost = sum(1 for at in self._lost.values() if at >= since)
+        lost = sum(1 for at in self._lost_at.values() if at >= since)
         return divide(self._policy, len(self._alive), lost)
 
     def _pick_homes(
@@ -274,7 +298,7 @@
         owners = dict.fromkeys(self._owners[name] for name in ranked)
         return tuple(owners)[: self._settings.dispatch.homes]
 
-    def _note_members(self) -> None:
+    def _update_members(self) -> None:
         alive = {
             member.name: member
             for member in self._roster.live()
@@ -282,36 +306,37 @@
             or member.state == members.MemberState.ALIVE
         }
         if not alive:
-            # All are leaving, this one as well: what still waits here is
-            # served by what is still here.
+            # All members are leaving, including this instance. This instance
+            # serves its own remaining requests.
             alive = {self.name: self._roster.get(self.name)}
         for name in self._alive.keys() - alive.keys():
             member = self._roster.get(name)
             leaving = members.MemberState.LEAVING
             if member is not None and member.state != leaving:
-                self._lost[name] = self._clock()
+                self._lost_at[name] = self._clock()
         for name in alive:
-            self._lost.pop(name, None)
+            self._lost_at.pop(name, None)
         self._alive = alive
 
-    def _candidates(
+    def _list_candidates(
         self, server: document.BackendServer, names: set[str]
     ) -> tuple[str, ...]:
-        """Return the members that may own a server: its region's first.
+        """Return the members that may own a server.
 
-        Regions lose each other for an hour now and then; a server owned in
-        its own region keeps serving that region's callers.
+        Members of the server's region are used if there are any: partitions
+        between regions of up to an hour occur, and a server owned in its own
+        region continues to serve that region's callers.
         """
         configuration = self._holder.document
-        near = tuple(
+        same_region = tuple(
             name
             for name in sorted(names)
-            if _is_near(self._alive[name], server, configuration)
+            if _is_same_region(self._alive[name], server, configuration)
         )
-        return near or tuple(sorted(names))
+        return same_region or tuple(sorted(names))
 
 
-def _is_near(
+def _is_same_region(
     member: members.Member,
     server: document.BackendServer,
     configuration: document.Document,
--- a/src/amaranthslip/shares/scheduler.py
+++ b/src/amaranthslip/shares/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: an entry's queues, and the slots it gets for them."""
+"""The scheduler: request queues of an entry and its leased slots."""
 
 import contextlib
 import functools
@@ -23,26 +23,26 @@
 
 _LOG = logging.getLogger(__name__)
 
-# A wait is predicted only from queues long enough to have a steady rate.
-_PREDICT_FROM = 8
-_LEAST_RETRY_SECONDS = 1.0
+# Queue length from which on the grant rate is steady enough to predict a wait.
+_MIN_QUEUE_TO_PREDICT = 8
+_MIN_RETRY_SECONDS = 1.0
 
 
 class Scheduler:
-    """Queues this entry's requests and gets slots for them.
+    """Queues the requests of this entry and obtains slots for them.
 
     Parameters
     ----------
     settings : Settings
         Uses `instance` and `dispatch`.
     owned : Ownership
-        Client accounts' homes and servers' owners.
+        The homes of client accounts and the owners of servers.
     holder : Holder
         The configuration in force.
     outbox : object
         `send(instance_name, message) -> bool`.
     metrics : Metrics
-        Counts refusals and what is queued.
+        Receives queue lengths and queue waits.
     clock : callable
         Seconds, monotonic.
     """
@@ -57,7 +57,7 @@
         '_lines',
         '_waiting',
         '_leases',
-        '_stale',
+        '_stale_dispatchers',
         '_incarnations',
         '_prefixes',
         '_reporting',
@@ -85,7 +85,7 @@
         self._lines: dict[tuple[str, str], lines.Line] = {}
         self._waiting: set[lines.Line] = set()
         self._leases: dict[int, leases.SlotLease] = {}
-        self._stale: set[str] = set()
+        self._stale_dispatchers: set[str] = set()
         self._incarnations: dict[str, int] = {}
         self._prefixes = (
             prefixes.Prefixes() if settings.dispatch.prefix_routing else None
@@ -98,26 +98,26 @@
         self._exits = contextlib.ExitStack()
 
     def start(self) -> None:
-        """Begin the periodic work."""
+        """Start the greenlet that runs the periodic work."""
         greenlet = gevent.spawn(self._run)
         self._exits.callback(greenlet.kill)
 
     def close(self) -> None:
-        """End the periodic work."""
+        """Stop the greenlet that runs the periodic work."""
         self._exits.close()
 
     # -- callers' requests ------------------------------------------------
 
     def acquire(self, ticket: tickets.Ticket) -> leases.SlotLease:
-        """Wait in line until a slot is granted; see `Scheduler` protocol."""
-        account = self._check(ticket)
-        line = self._line(ticket.service, ticket.client_account)
+        """Queue a request until it gets a slot; see `scheduling.Scheduler`."""
+        account = self._check_account(ticket)
+        line = self._get_queue(ticket.service, ticket.client_account)
         self._check_queue(line, account, ticket)
-        self._forgive_exclusions(ticket)
+        self._reset_exclusions(ticket)
         line.estimate = ticket.estimate
-        waiter = line.join(ticket)
+        waiter = line.append(ticket)
         self._waiting.add(line)
-        self._note_queue(line)
+        self._update_queued_gauge(line)
         self._reporting.tell_wants(line)
         return self._await_grant(line, waiter, account)
 
@@ -136,16 +136,17 @@
         except gevent.Timeout:
             raise self._refuse_wait(line, timeout) from None
         finally:
-            line.leave(waiter)
-            self._settle_line(line)
+            line.remove(waiter)
+            self._report_queue(line)
             if lease is None and waiter.granted.successful():
-                # The caller left or the wait ended in the very moment of the
-                # grant: the slot goes back, or it would be lost.
+                # The caller disconnected or the timeout expired after the
+                # grant was set and before it was read. The slot would leak
+                # if it were not returned here.
                 waiter.granted.value.finish(outcomes.Outcome.UNUSED)
         self._metrics.record('queue_wait', self._clock() - waiter.enqueued)
         return lease
 
-    def _check(self, ticket: tickets.Ticket) -> document.ClientAccount:
+    def _check_account(self, ticket: tickets.Ticket) -> document.ClientAccount:
         configuration = self._holder.document
         account = configuration.client_accounts.get(ticket.client_account)
         if account is None or ticket.service not in account.services:
@@ -159,7 +160,7 @@
             raise self._refuse(
                 'no_backend_server',
                 f'service {ticket.service} has no backend server; retry later',
-                retry_after=_LEAST_RETRY_SECONDS,
+                retry_after=_MIN_RETRY_SECONDS,
             )
         return account
 
@@ -169,26 +170,26 @@
         account: document.ClientAccount,
         ticket: tickets.Ticket,
     ) -> None:
-        """Refuse early what would be refused late, before any work."""
+        """Refuse a request early if its queue is full or the wait too long."""
         if len(line.waiters) >= account.queue_requests:
             raise self._refuse(
                 'queue_full',
-                f'{len(line.waiters)} requests of this client account wait '
-                'here already; retry later',
+                f'{len(line.waiters)} requests of this client account are '
+                'queued on this instance already; retry later',
                 status=429,
-                retry_after=max(_LEAST_RETRY_SECONDS, line.interval),
+                retry_after=max(_MIN_RETRY_SECONDS, line.interval),
             )
         allowed = min(
             account.queue_seconds, ticket.deadline - time.monotonic()
         )
         predicted = line.predict_wait()
-        if len(line.waiters) >= _PREDICT_FROM and predicted > allowed:
+        if len(line.waiters) >= _MIN_QUEUE_TO_PREDICT and predicted > allowed:
             raise self._refuse(
                 'queue_wait',
-                f'the wait would be about {predicted:.0f} s, beyond the '
-                f'{allowed:.0f} s allowed; retry later',
+                f'the expected queue wait is {predicted:.0f} s, longer than '
+                f'the {allowed:.0f} s allowed; retry later',
                 status=429,
-                retry_after=max(_LEAST_RETRY_SECONDS, predicted - allowed),
+                retry_after=max(_MIN_RETRY_SECONDS, predicted - allowed),
             )
 
     def _refuse_wait(
@@ -196,9 +197,9 @@
     ) -> errors.RequestRefused:
         return self._refuse(
             'queue_timeout',
-            f'no slot came free in {timeout:.1f} s; retry later',
+            f'no slot became free within {timeout:.1f} s; retry later',
             status=429,
-            retry_after=max(_LEAST_RETRY_SECONDS, line.predict_wait()),
+            retry_after=max(_MIN_RETRY_SECONDS, line.predict_wait()),
         )
 
     def _refuse(
@@ -213,8 +214,8 @@
             reason, message, status=status, retry_after=retry_after
         )
 
-    def _forgive_exclusions(self, ticket: tickets.Ticket) -> None:
-        """Allow the servers again that failed before, if none is left."""
+    def _reset_exclusions(self, ticket: tickets.Ticket) -> None:
+        """Clear the excluded servers if they include all usable servers."""
         servers = self._holder.document.backend_servers.values()
         names = {each.name for each in servers if not each.leaving}
         if not names - ticket.excluded:
@@ -223,13 +224,13 @@
     # -- leases -----------------------------------------------------------
 
     def charge(self, line: lines.Line, tokens: float) -> None:
-        """Count delivered tokens; the next tick tells the homes."""
+        """Count delivered tokens; the next tick reports them to the homes."""
         self._reporting.note_charge(line, tokens)
 
     def finish(
         self, lease: leases.SlotLease, outcome: outcomes.Outcome
     ) -> None:
-        """Return a lease's slot; a second call does nothing."""
+        """Return the slot of a lease; a second call has no effect."""
         if self._leases.pop(lease.id, None) is None:
             return
         lease.line.running -= 1
@@ -253,27 +254,31 @@
     # -- messages ---------------------------------------------------------
 
     def greet(self, sender: str, incarnation: int) -> None:
-        """Note a new connection from a dispatcher; a restart counts anew."""
+        """Handle a new connection from a dispatcher.
+
+        After a restart of the dispatcher the ids of its earlier grants are
+        dropped.
+        """
         if self._incarnations.get(sender) != incarnation:
             self._incarnations[sender] = incarnation
             self._reporting.forget(sender)
 
     def receive(self, sender: str, message: object) -> None:
-        """Take one message of `shares.messages` from a dispatcher."""
-        self._take(message, sender)
+        """Handle a message of `shares.messages` from a dispatcher."""
+        self._handle(message, sender)
 
     @functools.singledispatchmethod
-    def _take(self, message: object, sender: str) -> None:
-        """Take one message; kinds for the dispatcher are not for here."""
+    def _handle(self, message: object, sender: str) -> None:
+        """Handle one message; types meant for the dispatcher are ignored."""
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.SlotGrant, sender: str) -> None:
         self._reporting.note_grant(sender, message.id)
-        line = self._line(message.service, message.client_account)
-        line.hear(message.score)
-        told = line.told.get(sender)
-        if told is not None:
-            told.count = max(0, told.count - 1)
+        line = self._get_queue(message.service, message.client_account)
+        line.observe_score(message.score)
+        reported = line.told.get(sender)
+        if reported is not None:
+            reported.count = max(0, reported.count - 1)
         if not self._use_grant(line, message, sender):
             unused = messages.Finish(
                 id=message.id,
@@ -281,40 +286,41 @@
                 seen=self._reporting.take_seen(sender),
             )
             self._send(sender, unused)
-        self._settle_line(line)
+        self._report_queue(line)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Restate, sender: str) -> None:
         for each in self.restate(sender, answers=message.number):
             self._outbox.send(sender, each)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Own, sender: str) -> None:
         for lease in self._leases.values():
             if lease.backend_server.name == message.server:
-                self._hand_over(lease, sender)
+                self._transfer_lease(lease, sender)
 
-    @_take.register
+    @_handle.register
     def _(self, message: messages.Digest, sender: str) -> None:
         self._reporting.note_digest(sender, message)
 
     def restate(self, name: str, *, answers: int = 0) -> list[object]:
-        """Return all that a dispatcher should know of this entry.
+        """Return the messages with this entry's state for a dispatcher.
 
-        Sent first on each new connection: what was under way on a lost one
-        may or may not have arrived, and a restarted dispatcher has nothing.
+        They are the first messages on each new connection: messages in flight
+        on the former one may or may not have arrived, and a restarted
+        dispatcher has no state.
         """
-        told: list[object] = [
+        state: list[object] = [
             messages.Reset(
                 seen=self._reporting.take_seen(name), answers=answers
             )
         ]
         for lease in self._leases.values():
             if lease.holder == name:
-                told.append(self._reporting.build_held(lease))
+                state.append(self._reporting.build_held(lease))
         for line in self._lines.values():
-            told += self._reporting.restate_line(line, name)
-        return told
+            state += self._reporting.restate_line(line, name)
+        return state
 
     def _use_grant(
         self, line: lines.Line, message: messages.SlotGrant, sender: str
@@ -338,27 +344,27 @@
         waiter.granted.set(lease)
         return True
 
-    # -- telling dispatchers ----------------------------------------------
+    # -- sending to dispatchers -------------------------------------------
 
     def _send(self, name: str, message: object) -> None:
-        """Send what must not be lost, or tell everything again later.
+        """Send a message, and schedule a full resend if that fails.
 
-        A returned slot whose message found the peer's queue full would stay
-        in use at its dispatcher for ever.
+        If the send queue is full when a slot is returned, the dispatcher
+        would otherwise count that slot as used for ever.
         """
         if not self._outbox.send(name, message):
-            self._stale.add(name)
+            self._stale_dispatchers.add(name)
 
-    def _tell_stale(self) -> None:
-        stale, self._stale = self._stale, set()
-        for name in stale:
+    def _restate_stale(self) -> None:
+        dispatchers, self._stale_dispatchers = self._stale_dispatchers, set()
+        for name in dispatchers:
             for message in self.restate(name):
                 self._send(name, message)
 
     # -- periodic work ----------------------------------------------------
 
     def tick(self) -> None:
-        """Do the periodic work once."""
+        """Run the periodic work once."""
         now = self._clock()
         self._follow_ownership()
         self._follow_configuration()
@@ -368,11 +374,11 @@
             if not line.waiters:
                 self._waiting.discard(line)
         self._reporting.tell_dirty(now)
-        self._tell_stale()
+        self._restate_stale()
         self._reporting.confirm_late()
 
     def describe(self) -> dict[str, int]:
-        """Return how many requests of each client account wait here."""
+        """Return the queue length of each client account at this entry."""
         queued: dict[str, int] = {}
         for line in self._waiting:
             account = line.client_account
@@ -385,11 +391,11 @@
             try:
                 self.tick()
             except Exception:
-                # One bad tick must not end the scheduler's periodic work.
+                # An error in one tick must not stop the periodic work.
                 _LOG.exception('schedule_tick_failed')
 
     def _follow_ownership(self) -> None:
-        """Tell new owners of the slots held at their servers."""
+        """Report held slots to the new owners of their servers."""
         self._ownership.refresh()
         if self._generation == self._ownership.generation:
             return
@@ -397,10 +403,10 @@
         for lease in self._leases.values():
             owner = self._ownership.owner(lease.backend_server.name)
             if owner is not None:
-                self._hand_over(lease, owner)
+                self._transfer_lease(lease, owner)
 
-    def _hand_over(self, lease: leases.SlotLease, owner: str) -> None:
-        """Tell a server's new owner of a slot, and the old one no more."""
+    def _transfer_lease(self, lease: leases.SlotLease, owner: str) -> None:
+        """Move the accounting of a slot from the former owner to a new one."""
         if owner == lease.holder:
             return
         self._send_finish(lease, outcomes.Outcome.MOVED)
@@ -408,7 +414,7 @@
         self._send(owner, self._reporting.build_held(lease))
 
     def _follow_configuration(self) -> None:
-        """Refuse what waits for an account or service that was removed."""
+        """Refuse queued requests whose account may not use the service now."""
         if self._configuration == self._holder.generation:
             return
         self._configuration = self._holder.generation
@@ -426,10 +432,10 @@
                     status=403,
                 )
             )
-            self._settle_line(line)
+            self._report_queue(line)
             del self._lines[line.service, line.client_account]
 
-    def _line(self, service: str, client_account: str) -> lines.Line:
+    def _get_queue(self, service: str, client_account: str) -> lines.Line:
         key = (service, client_account)
         line = self._lines.get(key)
         if line is None:
@@ -438,14 +444,14 @@
             )
         return line
 
-    def _settle_line(self, line: lines.Line) -> None:
-        # That nothing waits any more is told by the next tick: callers often
-        # send the next request at once.
+    def _report_queue(self, line: lines.Line) -> None:
+        # An empty queue is reported by the next tick only: callers often send
+        # the next request at once.
         if line.waiters:
             self._reporting.tell_wants(line)
-        self._note_queue(line)
+        self._update_queued_gauge(line)
 
-    def _note_queue(self, line: lines.Line) -> None:
+    def _update_queued_gauge(self, line: lines.Line) -> None:
         account = line.client_account
         queued = sum(
             len(self._lines[service, account].waiters)
--- a/src/amaranthslip/shares/scheduling.py
+++ b/src/amaranthslip/shares/scheduling.py
@@ -1,4 +1,4 @@
-"""What the entry asks of the dispatch decision, whichever policy runs it."""
+"""The interface between the entry and the scheduler of any policy."""
 
 import typing
 
@@ -8,19 +8,19 @@
 
 
 class Grant(typing.Protocol):
-    """The right to send one request to one backend server, once."""
+    """The right to send one request to one backend server once."""
 
     backend_server: document.BackendServer
 
     def charge(self, tokens: float) -> None:
-        """Charge tokens delivered since the last call, while streaming."""
+        """Charge the tokens streamed since the last call."""
 
     def finish(self, outcome: outcomes.Outcome) -> None:
-        """Return the slot; the first call counts, later ones do nothing."""
+        """Return the slot; only the first call has an effect."""
 
 
 class Scheduler(typing.Protocol):
-    """Decides which request goes next, and to which backend server."""
+    """Selects the next request to serve and its backend server."""
 
     def acquire(self, ticket: tickets.Ticket) -> Grant:
         """Wait in the client account's queue until a slot is granted.
@@ -28,6 +28,7 @@
         Raises
         ------
         RequestRefused
-            The queue is full, the wait too long, the account or service is
-            gone, the instance is stopping, or no backend server is left.
+            The queue is full, the wait is too long, the account or service
+            was removed, the instance is stopping, or no backend server is
+            left.
         """
--- a/src/amaranthslip/shares/servicequeue.py
+++ b/src/amaranthslip/shares/servicequeue.py
@@ -1,4 +1,4 @@
-"""One service at one dispatcher: who waits, and which servers are owned."""
+"""The backlog, scores and owned servers of one service at a dispatcher."""
 
 import time
 import typing
@@ -8,11 +8,11 @@
 from amaranthslip.shares import ledger
 from amaranthslip.shares import messages
 
-_AVOID_SECONDS = 0.25
+_EXCLUDE_SECONDS = 0.25
 
 
 class Choice:
-    """The demand that is served next, and the server it is offered."""
+    """The demand to serve next and the server whose slot it gets."""
 
     __slots__ = ('demand', 'owned')
 
@@ -22,20 +22,21 @@
 
 
 class ServiceQueue:
-    """One service's backlog and scores, and the servers owned here.
+    """Selects which demand of a service gets the next free slot.
 
     Parameters
     ----------
     name : str
-        The service.
+        Name of the service.
     service_ledger : Ledger
         The scores of its client accounts.
     holder : Holder
         The configuration in force.
     health : Health
-        Which backend servers may be used.
+        Tells which backend servers may receive requests.
     find_phase : callable
-        This dispatcher's place among the homes of a service's account.
+        Returns this dispatcher's relative position among the homes of a
+        client account, given the service and the account.
     clock : callable
         Seconds, monotonic.
     """
@@ -49,7 +50,7 @@
         '_health',
         '_find_phase',
         '_clock',
-        '_free_told',
+        '_last_sent_free',
     )
 
     def __init__(
@@ -70,15 +71,16 @@
         self._health = health
         self._find_phase = find_phase
         self._clock = clock
-        self._free_told = 0
+        self._last_sent_free = 0
 
     def choose(
         self, fraction: float, silent: typing.Container[str]
     ) -> Choice | None:
-        """Return what to grant next, lowest score first, or None.
+        """Return the next grant, lowest score first, or None.
 
-        An account is passed over only where none of its demands can take
-        any free slot: its entries are silent or declined these servers.
+        An account is skipped only if none of its demands can use any of the
+        free slots because its entries are unresponsive or have declined
+        these servers.
         """
         if not self.backlog or not self.servers:
             return None
@@ -91,24 +93,24 @@
             for demand in sorted(demands, key=lambda each: each.since):
                 if demand.entry in silent:
                     continue
-                owned = self._match(demand, free, now)
+                owned = self._choose_server(demand, free, now)
                 if owned is not None:
                     return Choice(demand, owned)
         return None
 
-    def _match(
+    def _choose_server(
         self, demand: backlog.Demand, free: list[slots.Slots], now: float
     ) -> slots.Slots | None:
         usable = [
             owned
             for owned in free
-            if demand.avoid.get(owned.server, 0.0) <= now
+            if demand.excluded_until.get(owned.server, 0.0) <= now
         ]
         preferred = [each for each in usable if each.server == demand.prefer]
         return next(iter(preferred + usable), None)
 
     def list_free(self, fraction: float) -> list[slots.Slots]:
-        """Return owned servers with free slots, the emptiest first."""
+        """Return owned servers with free slots, most free slots first."""
         servers = self._holder.document.backend_servers
         free = [
             owned
@@ -123,33 +125,37 @@
 
     def take(self, demand: backlog.Demand) -> None:
         """Count one request of a demand as granted."""
-        self.backlog.take(demand)
-        if not self.backlog.waits(demand.client_account):
+        self.backlog.count_grant(demand)
+        if not self.backlog.has_waiting(demand.client_account):
             self.ledger.end(demand.client_account)
 
-    def avoid(self, holding: slots.Holding) -> None:
-        """Offer an entry another server for a while after it declined one.
+    def exclude_declined(self, holding: slots.Holding) -> None:
+        """Stop offering a server to an entry for a while after a refusal.
 
-        It declined since its requests failed there before; offering the
-        same slot at once would go on for ever.
+        An entry whose waiting requests failed at the server before returns
+        the slot unused. Offering the same slot again at once would repeat
+        the refusal endlessly.
         """
-        until = self._clock() + _AVOID_SECONDS
+        until = self._clock() + _EXCLUDE_SECONDS
         for demand in self.backlog.list_demands(holding.client_account):
             if demand.entry == holding.entry:
-                demand.avoid[holding.server] = until
+                demand.excluded_until[holding.server] = until
 
-    def drop_wants(self, entry: str) -> None:
-        """Forget what an entry wanted."""
+    def drop_entry(self, entry: str) -> None:
+        """Remove the demand of an entry."""
         for client_account in self.backlog.drop_entry(entry):
             self.ledger.end(client_account)
 
     def build_digest(self, fraction: float) -> messages.Digest | None:
-        """Return what peers should know, or None when there is no news."""
+        """Return the digest for peers, or None when nothing is free.
+
+        A digest with zero free slots follows the last one that had some.
+        """
         free = sum(
             owned.count_free(fraction) for owned in self.list_free(fraction)
         )
-        told, self._free_told = self._free_told, free
-        if not self.servers or not (free or told):
+        sent_before, self._last_sent_free = self._last_sent_free, free
+        if not self.servers or not (free or sent_before):
             return None
         return messages.Digest(
             service=self.name,
@@ -172,5 +178,5 @@
         scored.sort()
         if scored:
             lowest = scored[0][1]
-            self.ledger.raise_level(self.ledger.read_settled(lowest))
+            self.ledger.raise_level(self.ledger.read_reported(lowest))
         return [name for _, name in scored]
--- a/tests/features/steps/dispatch.py
+++ b/tests/features/steps/dispatch.py
@@ -199,7 +199,7 @@
 @behave.then('both dispatch scores are {score:g}')
 def check_scores(context, score):
     for name in ('old', 'new'):
-        assert context.ledger.read_settled(name) == score
+        assert context.ledger.read_reported(name) == score
 
 
 @behave.given('a dispatch ledger with an account at score {score:g}')
@@ -212,7 +212,7 @@
 
 @behave.when('an entry reports {tokens:g} more tokens after a partition')
 def report_jump(context, tokens):
-    context.before = context.ledger.read_settled('cut')
+    context.before = context.ledger.read_reported('cut')
     total = context.before + tokens
     for _ in range(2):
         context.ledger.charge(
@@ -222,7 +222,7 @@
 
 @behave.then('the dispatch score has grown by {tokens:g}')
 def check_growth(context, tokens):
-    assert context.ledger.read_settled('cut') - context.before == tokens
+    assert context.ledger.read_reported('cut') - context.before == tokens
 
 
 @behave.given(
