--- a/src/amaranthslip/shares/dispatcher.py
+++ b/src/amaranthslip/shares/dispatcher.py
@@ -170,15 +170,17 @@
     def observe_load(self, report: typing.Any) -> None:
         """Process a load report of an owned backend server."""
         self._follow_ownership()
-        owned = self._servers.get(report.server)
-        if owned is None:
+        server_slots = self._servers.get(report.server)
+        if server_slots is None:
             return
-        owned.observe_load(running=report.running, waiting=report.waiting)
-        excess = report.running + report.waiting - owned.limit.slots
+        server_slots.observe_load(
+            running=report.running, waiting=report.waiting
+        )
+        excess = report.running + report.waiting - server_slots.limit.slots
         if excess > 0:
             self._metrics.count('over_admission', report.server, excess)
         self._metrics.set_gauge(
-            'slots_limit', report.server, owned.limit.value
+            'slots_limit', report.server, server_slots.limit.value
         )
         self._grant_all()
 
@@ -187,12 +189,12 @@
         self._follow_ownership()
         return {
             name: {
-                'used': len(owned.holdings),
-                'limit': owned.limit.value,
-                'slots': owned.limit.slots,
-                'external': owned.count_external(),
+                'used': len(server_slots.holdings),
+                'limit': server_slots.limit.value,
+                'slots': server_slots.limit.slots,
+                'external': server_slots.count_external(),
             }
-            for name, owned in self._servers.items()
+            for name, server_slots in self._servers.items()
         }
 
     def tick(self) -> None:
@@ -206,11 +208,13 @@
         if now - self._last_restate >= _CONFIRM_SECONDS:
             self._last_restate = now
             self._restate_unresponsive()
-            self._remove_dead()
+            self._remove_dead_entries()
         self._grant_all()
         self._send_digests(now)
-        for name, owned in self._servers.items():
-            self._metrics.set_gauge('slots_busy', name, len(owned.holdings))
+        for name, server_slots in self._servers.items():
+            self._metrics.set_gauge(
+                'slots_busy', name, len(server_slots.holdings)
+            )
 
     def _run(self) -> None:
         while True:
@@ -232,8 +236,10 @@
         _LOG.warning(
             'paused', extra={'seconds': round(now - self._last_tick, 1)}
         )
-        for owned in self._servers.values():
-            owned.open_from = now + self._settings.dispatch.rebuild_seconds
+        for server_slots in self._servers.values():
+            server_slots.open_from = (
+                now + self._settings.dispatch.rebuild_seconds
+            )
         for name in self._ownership.list_alive():
             self.request_restate(name)
 
@@ -249,9 +255,9 @@
         self._notified_members = alive
         owned = {each.name: each for each in self._ownership.list_owned()}
         for name in self._servers.keys() & owned.keys():
-            self._request_held(name, joined)
+            self._request_held_slots(name, joined)
         for name in self._servers.keys() - owned.keys():
-            self._give_up(name)
+            self._drop_server(name)
         for server in owned.values():
             if server.name in self._servers:
                 self._servers[server.name].limit.configure(server.slots)
@@ -278,7 +284,7 @@
         wait = self._settings.dispatch.rebuild_seconds
         if self._ownership.is_local:
             wait = 0.0
-        owned = slots.Slots(
+        server_slots = slots.Slots(
             server.name,
             server.slots,
             open_from=self._clock() + wait,
@@ -287,13 +293,13 @@
         )
         # Entries that detected the change earlier have reported their slots.
         for holding in self._holdings.list_server(server.name):
-            owned.hold(holding)
-        self._servers[server.name] = owned
-        self._request_held(server.name, self._notified_members)
-        self._get_service(server.service).servers[server.name] = owned
+            server_slots.hold(holding)
+        self._servers[server.name] = server_slots
+        self._request_held_slots(server.name, self._notified_members)
+        self._get_service(server.service).servers[server.name] = server_slots
         self._metrics.count('grants', 'owned')
 
-    def _request_held(self, server: str, names: set[str]) -> None:
+    def _request_held_slots(self, server: str, names: set[str]) -> None:
         """Ask entries to report the slots that they hold at a server.
 
         Without this message each entry detects the change of owner by itself,
@@ -312,17 +318,17 @@
         that moved to the new owner is still in use: granting it again would
         overload the engine until the membership update arrives here.
         """
-        owned = self._servers.get(name)
-        if owned is not None:
-            owned.open_from = self._clock() + _SUSPEND_SECONDS
+        server_slots = self._servers.get(name)
+        if server_slots is not None:
+            server_slots.open_from = self._clock() + _SUSPEND_SECONDS
 
-    def _give_up(self, name: str) -> None:
-        owned = self._servers.pop(name)
+    def _drop_server(self, name: str) -> None:
+        server_slots = self._servers.pop(name)
         for gauge in ('slots_busy', 'slots_limit'):
             self._metrics.set_gauge(gauge, name, 0)
         for service in self._services.values():
             service.servers.pop(name, None)
-        for id in list(owned.holdings):
+        for id in list(server_slots.holdings):
             self._release(id)
 
     def _get_service(self, name: str) -> servicequeue.ServiceQueue:
@@ -369,7 +375,7 @@
             entry=demand.entry,
             service=service.name,
             client_account=demand.client_account,
-            server=choice.owned.server,
+            server=choice.server_slots.server,
             estimate=demand.estimate,
             granted=self._clock(),
         )
@@ -391,17 +397,17 @@
 
     def _add_holding(self, holding: slots.Holding, *, confirmed: bool) -> None:
         self._holdings.add(holding, confirmed=confirmed)
-        owned = self._servers.get(holding.server)
-        if owned is not None:
-            owned.hold(holding)
+        server_slots = self._servers.get(holding.server)
+        if server_slots is not None:
+            server_slots.hold(holding)
 
     def _release(self, id: int) -> slots.Holding | None:
         holding = self._holdings.remove(id)
         if holding is None:
             return None
-        owned = self._servers.get(holding.server)
-        if owned is not None:
-            owned.free(id)
+        server_slots = self._servers.get(holding.server)
+        if server_slots is not None:
+            server_slots.free(id)
         self._get_service(holding.service).ledger.release(
             holding.client_account, holding.entry, holding.id
         )
@@ -446,7 +452,7 @@
         self._restate_number += 1
         return messages.Restate(number=self._restate_number)
 
-    def _remove_dead(self) -> None:
+    def _remove_dead_entries(self) -> None:
         for entry in self._incarnations.keys() - self._removed_entries:
             if self._ownership.is_dead(entry):
                 _LOG.info('entry_dead', extra={'entry': entry})
--- a/src/amaranthslip/shares/ledger.py
+++ b/src/amaranthslip/shares/ledger.py
@@ -27,7 +27,8 @@
     Attributes
     ----------
     score : float
-        Reported service divided by the share, in tokens.
+        Reported service divided by the share, in tokens. It is raised to
+        the level of the ledger after an idle time.
     estimate : float
         Expected cost of one request of the account, in tokens.
     totals : dict
--- a/src/amaranthslip/shares/lines.py
+++ b/src/amaranthslip/shares/lines.py
@@ -10,8 +10,8 @@
 from amaranthslip import errors
 from amaranthslip.requests import tickets
 
-# How often later requests of the same account whose prompt prefix the offered
-# server likely caches may be served before a request.
+# A request may be overtaken this often by later requests of its own account
+# whose prompt prefix the offered server likely caches.
 _MAX_BYPASSES = 8
 _LOOKAHEAD = 8
 _SMOOTHING_FACTOR = 0.2
--- a/src/amaranthslip/shares/servicequeue.py
+++ b/src/amaranthslip/shares/servicequeue.py
@@ -14,11 +14,13 @@
 class Choice:
     """The demand to serve next and the server whose slot it gets."""
 
-    __slots__ = ('demand', 'owned')
+    __slots__ = ('demand', 'server_slots')
 
-    def __init__(self, demand: backlog.Demand, owned: slots.Slots) -> None:
+    def __init__(
+        self, demand: backlog.Demand, server_slots: slots.Slots
+    ) -> None:
         self.demand = demand
-        self.owned = owned
+        self.server_slots = server_slots
 
 
 class ServiceQueue:
@@ -93,18 +95,18 @@
             for demand in sorted(demands, key=lambda each: each.since):
                 if demand.entry in silent:
                     continue
-                owned = self._choose_server(demand, free, now)
-                if owned is not None:
-                    return Choice(demand, owned)
+                server_slots = self._choose_server(demand, free, now)
+                if server_slots is not None:
+                    return Choice(demand, server_slots)
         return None
 
     def _choose_server(
         self, demand: backlog.Demand, free: list[slots.Slots], now: float
     ) -> slots.Slots | None:
         usable = [
-            owned
-            for owned in free
-            if demand.excluded_until.get(owned.server, 0.0) <= now
+            server_slots
+            for server_slots in free
+            if demand.excluded_until.get(server_slots.server, 0.0) <= now
         ]
         preferred = [each for each in usable if each.server == demand.prefer]
         return next(iter(preferred + usable), None)
@@ -113,14 +115,14 @@
         """Return owned servers with free slots, most free slots first."""
         servers = self._holder.document.backend_servers
         free = [
-            owned
-            for name, owned in self.servers.items()
+            server_slots
+            for name, server_slots in self.servers.items()
             if name in servers
             and not servers[name].leaving
-            and owned.count_free(fraction) > 0
+            and server_slots.count_free(fraction) > 0
             and self._health.admits(name)
         ]
-        free.sort(key=lambda owned: -owned.count_free(fraction))
+        free.sort(key=lambda server_slots: -server_slots.count_free(fraction))
         return free
 
     def take(self, demand: backlog.Demand) -> None:
@@ -152,7 +154,8 @@
         A digest with zero free slots follows the last one that had some.
         """
         free = sum(
-            owned.count_free(fraction) for owned in self.list_free(fraction)
+            server_slots.count_free(fraction)
+            for server_slots in self.list_free(fraction)
         )
         sent_before, self._last_sent_free = self._last_sent_free, free
         if not self.servers or not (free or sent_before):
--- a/tests/features/steps/dispatch.py
+++ b/tests/features/steps/dispatch.py
@@ -1,4 +1,4 @@
-"""Steps about dispatch: queues, grants, slots and scores."""
+"""Steps for dispatch: queues, grants, slots and scores."""
 
 import logging
 import time
@@ -27,7 +27,7 @@
 
 
 class _Traffic:
-    """Callers that send the next request when the last one ended."""
+    """Callers that send the next request after the last one has ended."""
 
     def __init__(self, context) -> None:
         self._context = context
@@ -49,10 +49,10 @@
             context.engines.run(lease, tokens)
 
 
-def _wait(condition) -> None:
+def _wait_until(condition) -> None:
     end = time.monotonic() + _TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < end, 'the condition did not come true'
+        assert time.monotonic() < end, 'timed out waiting for the condition'
         gevent.sleep(0.02)
 
 
@@ -114,7 +114,7 @@
     entries = {
         'every entry': context.names,
         'one entry': context.names[:1],
-        'that entry': [getattr(context, 'deaf', '')],
+        'that entry': [getattr(context, 'remote_entry', '')],
         'the other entry': [getattr(context, 'owner', '')],
     }[where]
     context.largest = max(context.largest, tokens)
@@ -122,13 +122,15 @@
 
 
 @behave.then(
-    'the dispatch gap stays under its bound until each had {tokens:d} tokens'
+    'the dispatch score gap stays within its bound until each had '
+    '{tokens:d} tokens'
 )
 def check_gap(context, tokens):
-    """Bound: what all slots may have in progress, and what is unreported.
+    """Compare the largest change of the score difference with its bound.
 
-    The formula is that of docs/design/dispatch.md with every slot held by
-    one account, divided by the smallest share.
+    The bound is the work in progress in all slots and the unreported
+    service, divided by the smallest share. It is the formula of
+    docs/design/dispatch.md with every slot held by one account.
     """
     count, servers, slots, _ = context.fleet
     in_progress = servers * slots * context.largest
@@ -145,43 +147,45 @@
         differences.append(first - second)
         return all(served.get(name, 0.0) >= tokens for name in context.shares)
 
-    _wait(reached)
+    _wait_until(reached)
     gap = max(differences) - min(differences)
     assert gap <= bound, f'gap {gap:.0f} tokens, bound {bound:.0f}'
 
 
 @behave.then('no dispatch server ever had more than {slots:d} requests')
-def check_most(context, slots):
-    _wait(lambda: sum(context.engines.finished.values()) >= 4)
-    assert context.engines.most, 'nothing ran'
-    assert max(context.engines.most.values()) <= slots, context.engines.most
+def check_peak(context, slots):
+    _wait_until(lambda: sum(context.engines.finished.values()) >= 4)
+    assert context.engines.peak_running, 'no request ran'
+    assert max(context.engines.peak_running.values()) <= slots, (
+        context.engines.peak_running
+    )
 
 
 @behave.then('all {slots:d} dispatch slots come into use')
 def check_all_used(context, slots):
-    _wait(lambda: sum(context.engines.running.values()) == slots)
+    _wait_until(lambda: sum(context.engines.running.values()) == slots)
 
 
-@behave.when('the dispatch owner restarts without memory')
+@behave.when('the dispatch owner restarts without state')
 def restart_owner(context):
     running = context.engines.running
-    _wait(lambda: sum(running.values()) == 4)
+    _wait_until(lambda: sum(running.values()) == 4)
     context.network.start(context.owner)
 
 
 @behave.then(
     'the dispatch server "{server}" counts {slots:d} slots in use again'
 )
-def check_counted(context, server, slots):
+def check_slots_in_use(context, server, slots):
     instances = context.network.instances
     owner = instances['r0'].ownership.owner(server)
-    _wait(
+    _wait_until(
         lambda: instances[owner].dispatcher.describe()[server]['used'] == slots
     )
 
 
-@behave.given('a dispatch ledger that lost its memory')
-def make_empty_ledger(context):
+@behave.given('a dispatch ledger without records')
+def build_empty_ledger(context):
     context.ledger = ledger.Ledger(commit_tokens=400.0)
 
 
@@ -203,15 +207,15 @@
 
 
 @behave.given('a dispatch ledger with an account at score {score:g}')
-def make_ledger(context, score):
-    make_empty_ledger(context)
+def build_ledger(context, score):
+    build_empty_ledger(context)
     context.ledger.charge(
         'cut', 'r1', share=1.0, total=score, base=0.0, hint=0.0
     )
 
 
 @behave.when('an entry reports {tokens:g} more tokens after a partition')
-def report_jump(context, tokens):
+def report_after_partition(context, tokens):
     context.before = context.ledger.read_reported('cut')
     total = context.before + tokens
     for _ in range(2):
@@ -226,9 +230,9 @@
 
 
 @behave.given(
-    'a dispatch fleet whose owners judge the health of {servers:d} servers'
+    'a dispatch fleet whose owners track the health of {servers:d} servers'
 )
-def start_judging_fleet(context, servers):
+def start_health_fleet(context, servers):
     configuration = dispatching.build_document(
         servers=servers, slots=4, accounts={'one': 1.0}
     )
@@ -260,15 +264,17 @@
     gevent.sleep(0.05)
 
 
-@behave.then('the dispatch owner of "{server}" grants no slot there')
+@behave.then('the dispatch owner of "{server}" grants none of its slots')
 def check_ejected(context, server):
     owner = context.network.instances['r0'].ownership.owner(server)
-    _wait(lambda: not context.network.instances[owner].health.admits(server))
+    _wait_until(
+        lambda: not context.network.instances[owner].health.admits(server)
+    )
 
 
-@behave.when('the dispatch owner dies and only its successor knows')
+@behave.when('the dispatch owner dies and only its successor detects it')
 def kill_owner(context):
-    _wait(lambda: sum(context.engines.running.values()) == 4)
+    _wait_until(lambda: sum(context.engines.running.values()) == 4)
     network = context.network
     context.successor = max(
         (name for name in context.names if name != context.owner),
@@ -277,7 +283,7 @@
     refresh = ownership.Ownership.refresh
 
     def refresh_late(owned):
-        return owned.name != context.deaf and refresh(owned)
+        return owned.name != context.remote_entry and refresh(owned)
 
     patch = mock.patch.object(ownership.Ownership, 'refresh', refresh_late)
     patch.start()
@@ -289,93 +295,97 @@
 @behave.then('the successor counts {slots:d} dispatch slots in use')
 def check_successor(context, slots):
     instance = context.network.instances[context.successor]
-    _wait(lambda: instance.dispatcher.describe()['engine-0']['used'] == slots)
+    _wait_until(
+        lambda: instance.dispatcher.describe()['engine-0']['used'] == slots
+    )
 
 
 @behave.when(
-    'an entry tells {count:d} running dispatch requests of {tokens:g} tokens'
+    'an entry reports {count:d} running dispatch requests of {tokens:g} tokens'
 )
-def tell_running(context, count, tokens):
+def report_running(context, count, tokens):
     context.ledger.expect('cut', tokens)
     context.ledger.report('cut', 'r1', running=count, seen=0)
 
 
-@behave.when('another entry tells the dispatch estimate {tokens:g}')
-def tell_estimate(context, tokens):
+@behave.when('another entry reports the dispatch estimate {tokens:g}')
+def report_estimate(context, tokens):
     context.ledger.expect('cut', tokens)
 
 
-@behave.then('the dispatch score with what runs is {score:g}')
-def check_whole_score(context, score):
+@behave.then('the dispatch score with running requests is {score:g}')
+def check_score_in_progress(context, score):
     assert context.ledger.read_score('cut', 1.0) == score
 
 
 @behave.given('an entry that is not the dispatch owner')
-def choose_entry(context):
+def choose_remote_entry(context):
     context.owner = context.network.instances['r0'].ownership.owner('engine-0')
-    context.deaf = min(
+    context.remote_entry = min(
         (name for name in context.names if name != context.owner),
         key=lambda name: identity.rank('engine-0', name),
     )
 
 
 @behave.when(
-    '{count:d} dispatch requests of that entry end while its link is cut'
+    '{count:d} dispatch requests of that entry end while its messages are lost'
 )
 def end_during_cut(context, count):
     network = context.network
-    scheduler = network.instances[context.deaf].scheduler
+    scheduler = network.instances[context.remote_entry].scheduler
     leases = []
     for _ in range(count):
         ticket = dispatching.build_ticket('pool', 'one', estimate=10)
         leases.append(scheduler.acquire(ticket))
     owner = network.instances[context.owner].dispatcher
-    # Confirmed grants: the entry said that they arrived.
-    _wait(lambda: not owner._holdings.has_unconfirmed(context.deaf))
-    network.blocked.add((context.deaf, context.owner))
+    # Wait until the entry has confirmed that all grants arrived.
+    _wait_until(
+        lambda: not owner._holdings.has_unconfirmed(context.remote_entry)
+    )
+    network.blocked.add((context.remote_entry, context.owner))
     for lease in leases:
         lease.finish(outcomes.Outcome.DONE)
     gevent.sleep(0.05)
     assert owner.describe()['engine-0']['used'] == count
 
 
-@behave.when('that dispatch link is connected anew')
-def connect_anew(context):
+@behave.when('that dispatch link reconnects')
+def reconnect_entry(context):
     context.network.blocked.clear()
-    context.network.reconnect(context.deaf, context.owner)
+    context.network.reconnect(context.remote_entry, context.owner)
 
 
 @behave.when('grants to that entry are lost')
 def lose_grants(context):
-    context.network.blocked.add((context.owner, context.deaf))
+    context.network.blocked.add((context.owner, context.remote_entry))
 
 
 @behave.when('grants to that entry arrive again')
-def hear_grants(context):
+def unblock_grants(context):
     context.network.blocked.clear()
 
 
-@behave.then('"{account}" ends {count:d} dispatch requests')
-def check_ended(context, account, count):
-    _wait(lambda: context.engines.finished.get(account, 0) >= count)
+@behave.then('"{account}" completes {count:d} dispatch requests')
+def check_completed(context, account, count):
+    _wait_until(lambda: context.engines.finished.get(account, 0) >= count)
 
 
 @behave.when(
-    '{count:d} dispatch callers of "{account}" leave as their slots are '
-    'granted'
+    '{count:d} dispatch callers of "{account}" disconnect as their '
+    'slots are granted'
 )
-def leave_when_granted(context, count, account):
+def disconnect_when_granted(context, count, account):
     scheduler = context.network.instances['r0'].scheduler
     callers = []
     pop = lines.Line.pop
 
-    def pop_and_leave(line, server, known):
-        # Queued before the grant's own wake-up: the caller is gone when it
-        # would be told.
+    def pop_and_disconnect(line, server, known):
+        # The kill is scheduled before the wake-up by the grant, so that the
+        # caller has ended when the grant would be delivered.
         callers[-1].kill(block=False)
         return pop(line, server, known)
 
-    with mock.patch.object(lines.Line, 'pop', pop_and_leave):
+    with mock.patch.object(lines.Line, 'pop', pop_and_disconnect):
         for _ in range(count):
             ticket = dispatching.build_ticket('pool', account, estimate=10)
             callers.append(gevent.spawn(scheduler.acquire, ticket))
@@ -388,10 +398,10 @@
     context.callers = []
     context.add_cleanup(gevent.killall, context.callers)
     _spawn_callers(context, account, 4)
-    _wait(lambda: all(each.ready() for each in context.callers))
+    _wait_until(lambda: all(each.ready() for each in context.callers))
     _spawn_callers(context, account, count - 4)
     scheduler = context.network.instances['r0'].scheduler
-    _wait(lambda: scheduler.describe().get(account) == count - 4)
+    _wait_until(lambda: scheduler.describe().get(account) == count - 4)
 
 
 def _spawn_callers(context, account, count):
@@ -413,17 +423,17 @@
         assert refused.reason == reason, refused.reason
         assert refused.status == 429 and refused.retry_after >= 1
     else:
-        raise AssertionError('not refused')
+        raise AssertionError('the request was not refused')
 
 
-@behave.then('"{account}" ends {count:d} dispatch requests there')
-def end_requests(context, account, count):
+@behave.then('"{account}" completes {count:d} dispatch requests there')
+def complete_requests(context, account, count):
     for caller in context.callers:
         context.traffic.greenlets.append(
             gevent.spawn(_run_granted, context, caller)
         )
     context.traffic.keep(account, 1, 10, ['r0'])
-    check_ended(context, account, count)
+    check_completed(context, account, count)
 
 
 def _run_granted(context, caller):
@@ -442,40 +452,42 @@
     context.network.holder.apply(newer)
 
 
-@behave.when('the configuration drops the dispatch account "{account}"')
-def drop_account(context, account):
+@behave.when('the configuration removes the dispatch account "{account}"')
+def remove_account(context, account):
     accounts = context.configuration.client_accounts.values()
     kept = [each for each in accounts if each.name != account]
     _reconfigure(context, client_accounts=kept)
 
 
 @behave.then(
-    'its {count:d} waiting dispatch requests are refused as "{reason}"'
+    'its {count:d} queued dispatch requests are refused as "{reason}"'
 )
 def check_all_refused(context, count, reason):
-    _wait(lambda: all(each.ready() for each in context.callers))
+    _wait_until(lambda: all(each.ready() for each in context.callers))
     refused = [each for each in context.callers if not each.successful()]
     assert len(refused) == count
     assert {each.exception.reason for each in refused} == {reason}
 
 
-@behave.then('its {count:d} running dispatch requests go on')
+@behave.then('its {count:d} running dispatch requests continue')
 def check_running(context, count):
     running = [each for each in context.callers if each.successful()]
     assert len(running) == count
-    check_counted(context, 'engine-0', count)
+    check_slots_in_use(context, 'engine-0', count)
 
 
-@behave.when('the configuration lets the dispatch server "{server}" leave')
-def let_leave(context, server):
+@behave.when(
+    'the configuration marks the dispatch server "{server}" as leaving'
+)
+def mark_leaving(context, server):
     servers = context.configuration.backend_servers
     servers[server].leaving = True
     _reconfigure(context)
 
 
 @behave.then('the dispatch server "{server}" had {count:d} requests')
-def check_had(context, server, count):
-    assert context.engines.most.get(server, 0) == count
+def check_request_count(context, server, count):
+    assert context.engines.peak_running.get(server, 0) == count
 
 
 @behave.given('the dispatch fuzz with {runs:d} runs of {steps:d} steps')
@@ -489,7 +501,7 @@
     )
 
 
-@behave.then('the dispatch fuzz finds no fault')
+@behave.then('the dispatch fuzz finds no failure')
 def run_fuzz(context):
     logging.getLogger('amaranthslip').setLevel(logging.ERROR)
     stateful.run_state_machine_as_test(
--- a/tests/support/dispatchfuzz.py
+++ b/tests/support/dispatchfuzz.py
@@ -1,8 +1,8 @@
-"""A stateful fuzz of dispatch: real classes, a virtual clock, lossy links.
+"""Stateful fuzz test of dispatch with a virtual clock and lossy connections.
 
-The oracle is simple: once all is quiet, no slot is free while a request
-waits, every slot counted as used is held by a living request, and every
-request that left the queue holds exactly one slot.
+After all messages are delivered, no slot may be free while a request waits,
+every slot counted as used must be held by a running request, and every request
+that left the queue must hold exactly one slot.
 """
 
 import random
@@ -23,7 +23,7 @@
 
 
 class VirtualClock:
-    """Seconds that pass only when the test says so."""
+    """A clock that only the test advances, in seconds."""
 
     def __init__(self) -> None:
         self.now = 1000.0
@@ -33,7 +33,7 @@
 
 
 class Request:
-    """A caller's request: waiting in a greenlet, then holding a lease."""
+    """A request that waits in a greenlet and then holds a lease."""
 
     def __init__(self, entry: str, greenlet: gevent.Greenlet) -> None:
         self.entry = entry
--- a/tests/support/dispatching.py
+++ b/tests/support/dispatching.py
@@ -1,4 +1,4 @@
-"""Instances in one process, joined by a fake network, for dispatch tests."""
+"""Instances in one process on a simulated network, for dispatch tests."""
 
 import random
 import time
@@ -21,7 +21,7 @@
 
 
 class FakeRoster:
-    """A roster that the test sets."""
+    """A roster whose member states are set by the test."""
 
     def __init__(self) -> None:
         self.generation = 1
@@ -60,7 +60,7 @@
 
 
 class FakeHealth:
-    """All backend servers are well, but for those that the test names."""
+    """Reports all backend servers as healthy except those in `ejected`."""
 
     def __init__(self) -> None:
         self.ejected: set[str] = set()
@@ -79,7 +79,7 @@
 
 
 class Outbox:
-    """One instance's way into the fake network."""
+    """Sends the messages of one instance over the simulated network."""
 
     def __init__(self, network: 'Network', name: str) -> None:
         self._network = network
@@ -90,7 +90,7 @@
 
 
 class Instance:
-    """An instance's dispatch parts, without HTTP."""
+    """The dispatcher and scheduler of one instance, without HTTP."""
 
     def __init__(self, network: 'Network', name: str, seed: int) -> None:
         clock = network.clock
@@ -144,7 +144,7 @@
 class Network:
     """Delivers messages in order for each pair, after a delay.
 
-    With `manual` nothing happens by itself: the test delivers, and ticks.
+    With `manual` the test delivers messages and runs the periodic work.
     """
 
     def __init__(
@@ -197,7 +197,7 @@
         )
 
     def start(self, name: str) -> Instance:
-        """Start an instance, or start it again without memory."""
+        """Start an instance, or restart it without its state."""
         old = self.instances.pop(name, None)
         if old is not None:
             old.close()
@@ -213,7 +213,7 @@
         return instance
 
     def reconnect(self, sender: str, name: str) -> None:
-        """Give what a new connection gives: Hello, then all state."""
+        """Simulate a new connection: a greeting, then the full state."""
         self._connect(sender, name)
 
     def send(self, sender: str, name: str, message: object) -> bool:
@@ -223,8 +223,8 @@
         self.sent[kind] = self.sent.get(kind, 0) + (sender != name)
         self.pending.setdefault((sender, name), []).append(message)
         if not self.manual:
-            # Timers of one moment fire in any order: each delivers the
-            # oldest message of its pair.
+            # Timers that expire together fire in any order. Each one
+            # delivers the oldest message of its pair to keep the order.
             delay = self.delay if sender != name else 0.0
             gevent.spawn_later(delay, self.deliver, sender, name)
         return True
@@ -234,7 +234,7 @@
             instance.close()
 
     def deliver(self, sender: str, name: str) -> bool:
-        """Deliver the oldest message of a pair; False: there is none."""
+        """Deliver the oldest message of a pair; False if there is none."""
         waiting = self.pending.get((sender, name))
         if not waiting or name not in self.instances:
             return False
@@ -246,7 +246,7 @@
             gevent.sleep(0)
 
     def cut(self, sender: str, name: str) -> None:
-        """Lose what is under way on a link, and connect it anew."""
+        """Drop the messages in flight on a connection, and reconnect."""
         self.pending.pop((sender, name), None)
         self._connect(sender, name)
 
@@ -265,25 +265,27 @@
 
 
 class Engines:
-    """Fake engines: they count what runs, and stream tokens at a pace."""
+    """Simulated engines that count requests and stream tokens at a rate."""
 
     def __init__(self, *, step_seconds: float, step_tokens: float) -> None:
         self.step_seconds = step_seconds
         self.step_tokens = step_tokens
         self.running: dict[str, int] = {}
-        self.most: dict[str, int] = {}
+        self.peak_running: dict[str, int] = {}
         self.busy_seconds = 0.0
         self.served: dict[str, float] = {}
         self.finished: dict[str, int] = {}
 
     def run(self, lease: leases.SlotLease, tokens: float) -> None:
-        """Run one request to its end."""
+        """Run one request until it has ended."""
         server = lease.backend_server.name
         account = lease.client_account
         began = time.monotonic()
         self.running[server] = self.running.get(server, 0) + 1
-        most = max(self.most.get(server, 0), self.running[server])
-        self.most[server] = most
+        peak_running = max(
+            self.peak_running.get(server, 0), self.running[server]
+        )
+        self.peak_running[server] = peak_running
         try:
             while tokens > 0:
                 gevent.sleep(self.step_seconds)
