--- a/src/amaranthslip/shares/activity.py
+++ b/src/amaranthslip/shares/activity.py
@@ -1,13 +1,14 @@
-"""What instances tell one another of requests at backend servers."""
+"""Messages between instances on requests at backend servers, and demand."""
 
 import typing
 
 
 class PlaceAsk:
-    """A request is about to go to a server that the receiver keeps.
+    """Asks a server's keeper for its load, and announces a request.
 
-    `server` is its name's number, `unread` the prompt tokens that it likely
-    has to read, `held` the tokens of memory that the request takes.
+    `server` is the id of the server's name, `unread` the number of prompt
+    tokens that the server likely has to read, `held` the tokens of the
+    server's memory that the request takes.
     """
 
     __slots__ = ('number', 'server', 'unread', 'held')
@@ -22,13 +23,14 @@
 
 
 class PlaceAnswer:
-    """What stands before a request, in the view of the server's keeper.
-
-    `ahead` are prompt tokens to read before its own, `rate` how many the
-    server reads a second, `congestion` the seconds by which each running
-    request holds a first event up, `running` and `held` what all instances
-    have in progress there without it. `admitted` is false while the server is
-    out because its answers fail.
+    """A server's load as counted by its keeper, without the asking request.
+
+    `ahead` is the number of prompt tokens to read before the request's own,
+    `rate` the tokens that the server reads per second, `congestion` the
+    seconds by which each running request delays a first event. `running` is
+    the number of requests in progress from all instances, `held` the tokens of
+    memory that they take. `admitted` is false while the server is ejected
+    because its requests fail.
     """
 
     __slots__ = (
@@ -62,7 +64,7 @@
 
 
 class PlaceStarted:
-    """The answer to an asked request has begun: its prompt is read."""
+    """The answer to an announced request began: its prompt is read."""
 
     __slots__ = ('number',)
 
@@ -71,9 +73,10 @@
 
 
 class PlaceEnded:
-    """A request ended; `number` 0: it had not been asked for.
+    """A request ended; `number` is 0 if its keeper was not asked.
 
-    `succeeded` and `failed` say how, if it tells of the server.
+    `succeeded` and `failed` are both false if the end says nothing about the
+    server's health.
     """
 
     __slots__ = ('number', 'server', 'succeeded', 'failed', 'connected')
@@ -95,7 +98,7 @@
 
 
 class ServerEjected:
-    """A server's keeper found that its answers fail."""
+    """A server's keeper ejected it because its requests fail."""
 
     __slots__ = ('server', 'seconds')
 
@@ -105,9 +108,10 @@
 
 
 class AccountDemand:
-    """What one client account asked one instance for, and got, so far.
+    """One client account's requested and granted tokens.
 
-    In tokens, since the start of the process; it only grows.
+    In a report, the totals of one instance since the start of its process,
+    which never decrease; in a `DemandLevel`, the fleet's totals of the window.
     """
 
     __slots__ = ('account', 'asked', 'granted')
@@ -119,7 +123,7 @@
 
 
 class DemandReport:
-    """The demand of accounts that changed since the last report."""
+    """Totals of the accounts that changed since the last report."""
 
     __slots__ = ('accounts',)
 
@@ -128,9 +132,9 @@
 
 
 class DemandLevel:
-    """The fair share above which nobody is owed more, in the window.
+    """The fleet's max-min level of the window; no account is owed more.
 
-    `level` is infinite, told as 0, while all get what they ask for.
+    `level` is 0 for infinity, while all accounts get what they request.
     """
 
     __slots__ = ('level', 'accounts')
