--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -82,7 +82,8 @@
     crash_guard : CrashGuard
         Reports server crashes and refuses quarantined requests.
     metrics : Metrics
-        Counts failed tries, retries and denied retries by reason.
+        Counts failed tries, retries and denied retries by reason, and records
+        the latencies of first events.
     read_hold : callable
         Returns the seconds for which a stream's events are batched before
         they are written to the caller.
@@ -308,7 +309,7 @@
         self._crash_guard.check(call)
         call.kept_connection_broke = False
         request = self._compose(call, place)
-        sent_at = time.monotonic()
+        started_at = time.monotonic()
         _LOG.info(
             'request_sent',
             extra={
@@ -317,7 +318,7 @@
                 'server': place.server.name,
                 'service': place.server.service,
                 'expected_ms': int(place.expected_seconds * 1000),
-                'waited_ms': int((sent_at - call.need.arrived) * 1000),
+                'waited_ms': int((started_at - call.need.arrived) * 1000),
                 'left_ms': int(call.seconds_left * 1000),
             },
         )
@@ -333,7 +334,7 @@
                 self._directory.note_backoff(place.server, facts.retry_after)
             outcomes.check_run(answer, facts)
             if relay is not None and outcomes.is_stream(answer):
-                self._relay_stream(call, relay, answer, place, sent_at)
+                self._relay_stream(call, relay, answer, place, started_at)
                 return None
             if relay is not None and relay.started:
                 # A whole answer must not be appended to a partial stream:
--- a/tests/features/steps/operated.py
+++ b/tests/features/steps/operated.py
@@ -1,4 +1,4 @@
-"""Steps about an instance on the users' platform."""
+"""Steps on an instance that runs on the operator's platform."""
 
 import json
 from unittest import mock
@@ -20,7 +20,8 @@
 
 @behave.given('an instance on the platform with two servers of each service')
 def start_instance(context):
-    # Bounds that a slow machine keeps; scenarios about them set their own.
+    # Long enough for a slow machine; scenarios that test these bounds set
+    # their own.
     context.side = operated.Side(
         bounds={'revoke_milliseconds': 60000, 'apply_milliseconds': 30000},
         shutdown={'notice_seconds': _STOP_SECONDS, 'finish_seconds': 30},
@@ -44,15 +45,15 @@
     ]
 
 
-def _list_asked(context):
+def _list_contacted(context):
     return [each for each in context.side.backends.values() if each.requests]
 
 
 def _plan_first(context, service, plan):
-    """Give a plan to whichever server of a service is asked first."""
+    """Set a plan for the server of a service that gets the first request."""
     plans = [plan]
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         if plans:
             context.first = backend
             return plans.pop()(backend, sock, request)
@@ -64,7 +65,7 @@
         return rest(backend, sock, request)
 
     for each in _list_backends(context, service):
-        each.always = follow
+        each.always = respond
 
 
 def _plan_all(context, service, plan):
@@ -72,7 +73,7 @@
         each.always = plan
 
 
-# -- what the operator and the platform do --------------------------------
+# -- actions of the operator and the platform -----------------------------
 
 
 def _configure(context, **values):
@@ -90,18 +91,16 @@
     _configure(context, routes=routes)
 
 
-@behave.when('the operator takes the key "{key}" away')
-def take_key(context, key):
+@behave.when('the operator revokes the key "{key}"')
+def revoke_key(context, key):
     accounts = operated.build_configuration()['tenants']
     for account in accounts:
         account['api_keys'] = [k for k in account['api_keys'] if k != key]
     _configure(context, tenants=accounts)
 
 
-@behave.when(
-    'the operator writes version 5, and then an old version 3 appears'
-)
-def write_old(context):
+@behave.when('the operator writes version 5, and then the older version 3')
+def write_older_version(context):
     context.side.configure(5)
     context.side.configure(3)
     context.side.wait_known()
@@ -113,7 +112,7 @@
 
 
 @behave.when(
-    'the operator sets the time-out of "{name}" to {milliseconds:d} '
+    'the operator sets the timeout of "{name}" to {milliseconds:d} '
     'milliseconds'
 )
 def set_timeout(context, name, milliseconds):
@@ -131,55 +130,59 @@
     )
 
 
-def _fault(context, mode):
+def _set_store_fault(context, mode):
     context.side.order('/standin/faults', mode=mode)
 
 
-@behave.when('the store falls silent for longer than a new version may take')
+@behave.when(
+    'the store refuses every call for longer than a new version may take to'
+    ' apply'
+)
 @behave.when(
     'the store refuses every call for longer than a revocation may take'
 )
 def refuse_calls(context):
-    _fault(context, 'refuse')
+    _set_store_fault(context, 'refuse')
     _set_bounds(context, revoke=_REVOKE_SECONDS * 1000, apply=600)
     exchanges.wait_until(lambda: not context.side.instance.is_ready())
 
 
 @behave.when('the store answers again')
-def restore(context):
+def restore_store(context):
     _set_bounds(context, revoke=60000, apply=30000)
-    _fault(context, 'up')
+    _set_store_fault(context, 'up')
     exchanges.wait_until(lambda: context.side.instance.reaches_store)
     context.side.wait_known()
 
 
-@behave.when("the store is down, and every plain server's entry lapses")
-def lapse(context):
-    _fault(context, 'down')
+@behave.when("the store is down, and every plain server's entry expires")
+def expire_entries(context):
+    _set_store_fault(context, 'down')
     exchanges.wait_until(lambda: not context.side.instance.reaches_store)
     for each in _list_backends(context, 'plain'):
         context.side.remove_entry(each.name)
 
 
-@behave.then('the plain servers are gone once they were missing for too long')
-def check_gone(context):
+@behave.then('the plain servers are removed after missing for too long')
+def check_removed(context):
     exchanges.wait_until(
         lambda: context.side.ask('/open/x', key='').status == 503
     )
 
 
 @behave.when(
-    "the store forgets its history while the first plain server's entry goes"
+    "the first plain server's entry is removed and the store's history"
+    ' compacted'
 )
-def forget(context):
+def compact_history(context):
     context.first = _list_backends(context, 'plain')[0]
     context.side.remove_entry(context.first.name)
     context.side.order('/standin/compact', now=True)
     context.side.wait_known()
 
 
-@behave.when('the first plain server says that it leaves')
-def leave(context):
+@behave.when('the first plain server registers as leaving')
+def register_leaving(context):
     context.first = _list_backends(context, 'plain')[0]
     context.side.register(context.first, state='draining')
     context.side.wait_known()
@@ -191,23 +194,25 @@
     context.add_cleanup(backend.close)
     values = backend.build_entry()
     entries = {
-        'no JSON': '{"service": ',
+        'not JSON': '{"service": ',
         'a list': '[]',
         'without an address': {
             name: value for name, value in values.items() if name != 'address'
         },
-        'of an unknown state': values | {'state': 'warming'},
-        'of a number for a service': values | {'service': 7},
+        'with an unknown state': values | {'state': 'warming'},
+        'with a number as service': values | {'service': 7},
     }
     context.side.write_entry('plain-3', entries[entry])
     context.side.wait_known()
 
 
-# -- what backend servers do ----------------------------------------------
+# -- behaviour of backend servers -----------------------------------------
 
 
-@behave.given('the first engine breaks off in the middle of event {number:d}')
-def break_off(context, number):
+@behave.given(
+    'the first engine ends the stream in the middle of event {number:d}'
+)
+def end_within_event(context, number):
     cut = b'id: %d\nda' % number
     _plan_first(
         context, 'llm', operated.stream(1, number - 1, cut=cut, end=False)
@@ -219,24 +224,24 @@
     engines = _list_backends(context, 'llm')
     first = engines[0].always
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         if request.headers.get('last-event-id'):
             failing = operated.answer('500 Internal Server Error')
             return failing(backend, sock, request)
         return first(backend, sock, request)
 
-    _plan_all(context, 'llm', follow)
+    _plan_all(context, 'llm', respond)
 
 
-@behave.given('the first engine sends the events 1 to 3 and then 5 to 9')
-def leave_out(context):
-    gap = operated.write_events(5, 9)
-    _plan_first(context, 'llm', operated.stream(1, 3, cut=gap))
+@behave.given('the first engine sends events 1 to 3 and then 5 to 9')
+def skip_event(context):
+    later_events = operated.write_events(5, 9)
+    _plan_first(context, 'llm', operated.stream(1, 3, cut=later_events))
 
 
-@behave.given('the engines send the events {first:d} to {last:d} one by one')
+@behave.given('the engines send events {first:d} to {last:d} one at a time')
 def send_one_by_one(context, first, last):
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         sock.sendall(operated.write_stream_head(backend, request))
         for number in range(first, last + 1):
             event = operated.write_events(number, number)
@@ -244,33 +249,33 @@
             gevent.sleep(0.02)
         sock.sendall(b'0\r\n\r\n')
 
-    _plan_all(context, 'llm', follow)
+    _plan_all(context, 'llm', respond)
 
 
-@behave.given('the engines send the events {first:d} to {last:d}')
+@behave.given('the engines send events {first:d} to {last:d}')
 def send_events(context, first, last):
     _plan_first(context, 'llm', operated.stream(first, last))
 
 
-@behave.given('the engines answer nothing')
-def answer_nothing(context):
+@behave.given('the engines never answer')
+def never_answer(context):
     _plan_all(context, 'llm', operated.wait_for_caller)
 
 
-@behave.given('the plain servers answer nothing')
-def plain_nothing(context):
+@behave.given('the plain servers never answer')
+def never_answer_plain(context):
     _plan_all(context, 'plain', operated.wait_for_caller)
 
 
-@behave.given('the engines answer once they are told to')
-def answer_later(context):
+@behave.given('the engines delay their answers until released')
+def delay_answers(context):
     context.release = event.Event()
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         context.release.wait()
         return operated.stream(1, 9)(backend, sock, request)
 
-    _plan_all(context, 'llm', follow)
+    _plan_all(context, 'llm', respond)
 
 
 _HEAD = b'HTTP/1.1 200 OK\r\nAmaranthslip-Attempt-Id: ATTEMPT\r\n'
@@ -278,30 +283,30 @@
 _FAULTS = {
     'closes without an answer': lambda *_: False,
     'crashes': operated.crash,
-    'answers 503 and does not say why': operated.answer(
+    'answers 503 without a not-run header': operated.answer(
         '503 Service Unavailable'
     ),
     'answers 503 with a Retry-After': operated.answer(
         '503 Service Unavailable', Retry_After='300'
     ),
-    'answers 429 and does not say why': operated.answer(
+    'answers 429 without a not-run header': operated.answer(
         '429 Too Many Requests'
     ),
     'answers 200 without a signature': operated.send_raw(
         _HEAD + b'Content-Length: 2\r\n\r\nok'
     ),
-    'answers 200 in an encoding': operated.answer(
+    'answers 200 with an encoded body': operated.answer(
         '200 OK', b'ok', Content_Encoding='gzip'
     ),
     'answers 500': operated.answer('500 Internal Server Error', b'failed'),
-    'is reset in an unframed answer': operated.send_raw(
+    'resets the connection in an unframed answer': operated.send_raw(
         _UNFRAMED, end='reset'
     ),
     'answers without a length and closes': operated.send_raw(
         _UNFRAMED, end='close'
     ),
-    'says that it did not run it': operated.refuse(),
-    'is another one at that address': operated.refuse(
+    'reports that it did not run it': operated.refuse(),
+    'is a different server than expected': operated.refuse(
         '421 Misdirected Request'
     ),
 }
@@ -325,20 +330,20 @@
     _plan_all(context, 'plain', _FAULTS[fault])
 
 
-@behave.given('the plain servers send each answer twice, the second one late')
-def answer_twice(context):
-    def follow(backend, sock, request):
+@behave.given('the plain servers repeat each answer before their next answer')
+def repeat_answers(context):
+    def respond(backend, sock, request):
         body = request.attempt.encode()
         whole = operated.write_sealed(backend, request, body)
         late = getattr(backend, 'late', b'')
         sock.sendall(late + whole)
         backend.late = whole
 
-    _plan_all(context, 'plain', follow)
+    _plan_all(context, 'plain', respond)
 
 
-@behave.given('the program fails over event {number:d}')
-def fail_program(context, number):
+@behave.given('an unexpected error occurs in the relay of event {number:d}')
+def fail_relay(context, number):
     find_id = events._find_id
 
     def fail(event):
@@ -352,8 +357,8 @@
     context.add_cleanup(patched.stop)
 
 
-@behave.when('a request for "{path}" names a method that no server takes')
-def ask_badly(context, path):
+@behave.when('a request for "{path}" has a method that HTTP does not allow')
+def send_invalid_method(context, path):
     context.answer = context.side.ask(path, method='B(D')
 
 
@@ -373,11 +378,11 @@
 def plan_leaving_answer(context, service, answer):
     context.log = log_capture.LogCapture('amaranthslip.capacity.directory')
     context.add_cleanup(context.log.close)
-    context.leaving_backends = []
+    context.first_receivers = []
 
-    def follow(backend, sock, request):
-        if not context.leaving_backends:
-            context.leaving_backends.append(backend)
+    def respond(backend, sock, request):
+        if not context.first_receivers:
+            context.first_receivers.append(backend)
             backend.leaving = True
         if backend.leaving:
             return _LEAVING_ANSWERS[answer](backend, sock, request)
@@ -387,14 +392,14 @@
         return plan(backend, sock, request)
 
     for each in _list_backends(context, service):
-        each.always = follow
+        each.always = respond
 
 
 @behave.then('exactly one log record reports that this server is leaving')
 def check_leaving_logged(context):
     found = context.log.find('backend_server_leaving')
     names = [each.server for each in found]
-    assert names == [context.leaving_backends[0].name], names
+    assert names == [context.first_receivers[0].name], names
 
 
 @behave.given(
@@ -402,12 +407,12 @@
     ' {seconds}'
 )
 def plan_retry_after(context, service, seconds):
-    context.leaving_backends = []
+    context.first_receivers = []
 
-    def follow(backend, sock, request):
-        if not context.leaving_backends:
-            context.leaving_backends.append(backend)
-        if backend in context.leaving_backends:
+    def respond(backend, sock, request):
+        if not context.first_receivers:
+            context.first_receivers.append(backend)
+        if backend in context.first_receivers:
             plan = operated.refuse(Retry_After=seconds)
         elif service == 'llm':
             plan = operated.stream(1, 9)
@@ -416,7 +421,7 @@
         return plan(backend, sock, request)
 
     for each in _list_backends(context, service):
-        each.always = follow
+        each.always = respond
 
 
 @behave.given(
@@ -424,11 +429,11 @@
     ' Retry-After {seconds}'
 )
 def plan_failing_retry_after(context, seconds):
-    context.leaving_backends = []
+    context.first_receivers = []
 
-    def follow(backend, sock, request):
-        if not context.leaving_backends:
-            context.leaving_backends.append(backend)
+    def respond(backend, sock, request):
+        if not context.first_receivers:
+            context.first_receivers.append(backend)
             plan = operated.answer(
                 '503 Service Unavailable', Retry_After=seconds
             )
@@ -436,7 +441,7 @@
             plan = operated.answer('200 OK', b'fine')
         return plan(backend, sock, request)
 
-    _plan_all(context, 'plain', follow)
+    _plan_all(context, 'plain', respond)
 
 
 @behave.given(
@@ -460,12 +465,12 @@
 
 
 @behave.when('a request for "{path}" is sent on the connection that breaks')
-def ask_on_breaking_connection(context, path):
+def send_on_breaking_connection(context, path):
     assert context.side.ask(path, attempt='first').status == 200
     context.answer = context.side.ask(path, attempt='broken')
 
 
-@behave.then('the server got no request after that refusal')
+@behave.then('the server received no request after that refusal')
 def check_refusal_last(context):
     attempts = [
         operated.Request(each).attempt for each in context.backend.requests
@@ -478,7 +483,7 @@
     assert 'retry-after' not in context.answer.headers, context.answer.data
 
 
-@behave.then('the caller is told that its request may have run')
+@behave.then('the answer says that the request may have run')
 def check_may_have_run(context):
     assert context.answer.status == 502, context.answer.data
     assert context.answer.error['code'] == 'outcome_unknown'
@@ -506,43 +511,43 @@
     ]
 
 
-@behave.when('its entry lapses, and is written again as ready')
+@behave.when('its entry expires and is written again as ready')
 def rewrite_entry(context):
-    (leaving,) = context.leaving_backends
-    context.side.remove_entry(leaving.name)
+    (receiver,) = context.first_receivers
+    context.side.remove_entry(receiver.name)
     context.side.wait_known()
-    context.side.register(leaving)
+    context.side.register(receiver)
     context.side.wait_known()
 
 
-@behave.when('it starts again under its name')
-def start_again(context):
-    (leaving,) = context.leaving_backends
-    leaving.leaving = False
-    leaving.born += 1
-    context.side.register(leaving)
+@behave.when('it restarts under its name')
+def restart_backend(context):
+    (receiver,) = context.first_receivers
+    receiver.leaving = False
+    receiver.born += 1
+    context.side.register(receiver)
     context.side.wait_known()
 
 
-@behave.then('this server got 1 request')
+@behave.then('this server received 1 request')
 def check_one_request(context):
-    (leaving,) = context.leaving_backends
-    assert len(leaving.requests) == 1, len(leaving.requests)
+    (receiver,) = context.first_receivers
+    assert len(receiver.requests) == 1, len(receiver.requests)
 
 
-@behave.then('this server got more than 1 request')
+@behave.then('this server received more than 1 request')
 def check_more_requests(context):
-    (leaving,) = context.leaving_backends
-    assert len(leaving.requests) > 1
+    (receiver,) = context.first_receivers
+    assert len(receiver.requests) > 1
 
 
-@behave.then('each plain server got 1 request')
+@behave.then('each plain server received 1 request')
 def check_one_each(context):
     got = [len(each.requests) for each in _list_backends(context, 'plain')]
     assert set(got) == {1}, got
 
 
-@behave.then('the last request is refused with a time to come back')
+@behave.then('the last request is refused with a Retry-After')
 def check_last_refused(context):
     last = context.answers[-1]
     assert last.status == 503 and last.error['not_run'] is True, last.data
@@ -551,15 +556,15 @@
 
 @behave.then('no log record reports that a server is leaving')
 def check_leaving_not_logged(context):
-    assert context.leaving_backends
+    assert context.first_receivers
     assert not context.log.find('backend_server_leaving')
 
 
-# -- what callers do and get ----------------------------------------------
+# -- requests of callers, and their answers --------------------------------
 
 
-@behave.when('a request for "{path}" claims to be another account\'s')
-def ask_falsely(context, path):
+@behave.when('a request for "{path}" sets the headers reserved for the system')
+def send_system_headers(context, path):
     context.answer = context.side.ask(
         path,
         Amaranthslip_Tenant='account-b',
@@ -573,58 +578,60 @@
     assert context.answer.status == 200, context.answer.data
 
 
-@behave.then('a server of "{service}" got "{target}" for "{account}"')
-def check_got(context, service, target, account):
-    (asked,) = _list_asked(context)
-    assert asked.service == service
-    context.got = operated.Request(asked.requests[0])
-    context.got_by = asked.name
-    assert context.got.target == target
-    assert context.got.headers['amaranthslip-tenant'] == account
-    assert context.got.headers['host'] == operated.HOST
-    assert context.got.headers['x-kept'] == 'yes'
+@behave.then(
+    'a server of "{service}" received "{target}" for account "{account}"'
+)
+def check_received(context, service, target, account):
+    (contacted,) = _list_contacted(context)
+    assert contacted.service == service
+    context.received = operated.Request(contacted.requests[0])
+    context.received_by = contacted.name
+    assert context.received.target == target
+    assert context.received.headers['amaranthslip-tenant'] == account
+    assert context.received.headers['host'] == operated.HOST
+    assert context.received.headers['x-kept'] == 'yes'
 
 
 @behave.then(
-    'the server got its own name, what is left of the time, and no key'
+    'the server received its own name, the remaining time, and no key'
 )
 def check_own_headers(context):
-    headers = context.got.headers
-    assert headers['amaranthslip-expect-instance'] == context.got_by
+    headers = context.received.headers
+    assert headers['amaranthslip-expect-instance'] == context.received_by
     assert 0 < int(headers['amaranthslip-deadline-ms']) <= 4000
     assert 'authorization' not in headers
 
 
-@behave.then("the server got none of the caller's system headers")
+@behave.then("the server received none of the caller's system headers")
 def check_stripped(context):
     for name in ('hold', 'pin-ms', 'kv-backup'):
-        assert f'amaranthslip-{name}' not in context.got.headers
-    assert 'kv-from' not in context.got.headers
+        assert f'amaranthslip-{name}' not in context.received.headers
+    assert 'kv-from' not in context.received.headers
 
 
 @behave.when('a request for "{path}" comes with the key "{key}"')
-def ask(context, path, key):
+def send_request(context, path, key):
     context.answer = context.side.ask(path, key=key)
 
 
 @behave.when('a request for "{path}" comes with the key ""')
-def ask_without(context, path):
+def send_without_key(context, path):
     context.answer = context.side.ask(path, key='')
 
 
 @behave.when('a request for "{path}" comes with a body of {size:d} bytes')
-def ask_large(context, path, size):
+def send_large_body(context, path, size):
     context.answer = context.side.ask(path, body=b'x' * size)
 
 
 @behave.then('a request for "{path}" with the key "{key}" gets {status:d}')
-def check_asked(context, path, key, status):
+def check_request_status(context, path, key, status):
     found = context.side.ask(path, key=key)
     assert found.status == status, found.data
 
 
 @behave.then('a request for "{path}" without a key gets {status:d}')
-def check_asked_openly(context, path, status):
+def check_keyless_request_status(context, path, status):
     found = context.side.ask(path, key='')
     assert found.status == status, found.data
 
@@ -641,8 +648,8 @@
     assert context.answer.body == body.encode(), context.answer.data
 
 
-@behave.then('it is answered {status:d}, with a time to come back')
-def check_come_back(context, status):
+@behave.then('it is answered {status:d}, with a Retry-After')
+def check_retry_after(context, status):
     assert context.answer.status == status, context.answer.data
     assert float(context.answer.headers['retry-after']) > 0
     assert json.loads(context.answer.body)['error']['not_run'] is True
@@ -653,18 +660,18 @@
     assert context.answer.status == status, context.answer.data
 
 
-@behave.then('no server got a request')
-def check_none(context):
-    assert not _list_asked(context)
+@behave.then('no server received a request')
+def check_no_server(context):
+    assert not _list_contacted(context)
 
 
-@behave.then('one server got a request')
-@behave.then('one engine got a request')
-def check_one(context):
-    assert len(_list_asked(context)) == 1
+@behave.then('one server received a request')
+@behave.then('one engine received a request')
+def check_one_server(context):
+    assert len(_list_contacted(context)) == 1
 
 
-@behave.then('the plain servers got {count:d} requests')
+@behave.then('the plain servers received {count:d} requests')
 def check_plain_requests(context, count):
     got = [
         len(each.requests)
@@ -674,9 +681,9 @@
     assert sum(got) == count, got
 
 
-@behave.then('two servers got a request')
-def check_two(context):
-    assert len(_list_asked(context)) == 2
+@behave.then('two servers received a request')
+def check_two_servers(context):
+    assert len(_list_contacted(context)) == 2
 
 
 @behave.then('the instance is not ready')
@@ -689,18 +696,19 @@
     exchanges.wait_until(context.side.is_ready)
 
 
-@behave.when('a caller streams from "{path}" after event {number:d}')
-def resume(context, path, number):
+@behave.when('a caller requests a stream from "{path}" after event {number:d}')
+def resume_stream(context, path, number):
     context.answer = context.side.ask(path, Last_Event_Id=str(number))
 
 
-@behave.when('a caller streams from "{path}"')
-def ask_stream(context, path):
+@behave.when('a caller requests a stream from "{path}"')
+def request_stream(context, path):
     context.answer = context.side.ask(path)
 
 
 @behave.then(
-    'the caller gets the events {first:d} to {last:d} once each, and the end'
+    'the caller receives events {first:d} to {last:d} once each, and the end'
+    ' of the stream'
 )
 def check_events(context, first, last):
     ids = operated.read_ids(context.answer)
@@ -708,7 +716,9 @@
     assert context.answer.complete
 
 
-@behave.then('the caller gets the events {first:d} to {last:d} and no end')
+@behave.then(
+    'the caller receives events {first:d} to {last:d} and no end of the stream'
+)
 def check_cut(context, first, last):
     ids = operated.read_ids(context.answer)
     assert ids == list(range(first, last + 1)), context.answer.data
@@ -721,15 +731,15 @@
     assert seal == f'seal-{context.first.name}', seal
 
 
-@behave.then('the {which} engine was asked to go on after event {number:d}')
-def check_after(context, which, number):
+@behave.then('the {which} engine was asked to resume after event {number:d}')
+def check_resumed_after(context, which, number):
     backend = getattr(context, which)
     request = operated.Request(backend.requests[-1])
     assert request.headers['last-event-id'] == str(number)
 
 
-@behave.when('two callers ask for "{path}" one after the other')
-def ask_two(context, path):
+@behave.when('two callers request "{path}" one after the other')
+def send_with_ids(context, path):
     context.answers = {}
     for attempt in ('a-1', 'a-2', 'a-3', 'a-4', 'a-5', 'a-6'):
         context.answers[attempt] = context.side.ask(
@@ -737,14 +747,14 @@
         )
 
 
-@behave.then('each gets the answer to its own request')
-def check_own(context):
+@behave.then('each caller receives the answer to its own request')
+def check_own_answers(context):
     for attempt, found in context.answers.items():
         assert found.body == attempt.encode(), (attempt, found.data)
 
 
 @behave.when('{count:d} requests for "{path}" come one after the other')
-def ask_many(context, count, path):
+def send_several(context, count, path):
     context.answers = {
         f'm-{number}': context.side.ask(path, key='', attempt=f'm-{number}')
         for number in range(count)
@@ -757,44 +767,42 @@
     assert set(found) == {status}, found
 
 
-@behave.then('the first plain server got no request')
-def check_first(context):
+@behave.then('the first plain server received no request')
+def check_first_unused(context):
     assert not context.first.requests
     check_each(context, 200)
 
 
-@behave.when('a caller of "{path}" leaves while its engine works')
-def leave_early(context, path):
+@behave.when('a caller of "{path}" disconnects while its engine works')
+def disconnect_early(context, path):
     caller = exchanges.Caller(context.side.address)
     caller.send(operated.write_request(path, 'a-1'))
-    exchanges.wait_until(lambda: _list_asked(context))
+    exchanges.wait_until(lambda: _list_contacted(context))
     caller.close()
 
 
-@behave.then("the engine's connection is closed")
+@behave.then('the connection to the engine is closed')
 def check_closed(context):
-    (asked,) = _list_asked(context)
-    exchanges.wait_until(lambda: asked.closed_early)
+    (contacted,) = _list_contacted(context)
+    exchanges.wait_until(lambda: contacted.closed_early)
 
 
-@behave.when('the instance is told to stop while a caller waits')
-def stop(context):
+@behave.when('the instance is stopped while a caller waits')
+def stop_instance(context):
     context.waiting = operated.spawn(context.side.ask, '/chat/x')
-    exchanges.wait_until(lambda: _list_asked(context))
+    exchanges.wait_until(lambda: _list_contacted(context))
     context.stopping = operated.spawn(context.side.instance.stop)
     gevent.sleep(0)
 
 
-@behave.then(
-    'a request that comes now is answered 200 and its connection closed'
-)
-def check_still_served(context):
+@behave.then('a new request is answered 200 and its connection is closed')
+def check_new_request(context):
     found = context.side.ask('/open/x', key='')
     assert found.status == 200, found.data
     assert found.headers['connection'] == 'close'
 
 
-@behave.then('the waiting caller gets its whole answer')
+@behave.then('the waiting caller receives its whole answer')
 def check_waiting(context):
     context.release.set()
     context.answer = context.waiting.get()
@@ -806,7 +814,7 @@
     assert context.stopping.get() is True
 
 
-@behave.then('the operators\' port shows "{path}" with "{text}"')
+@behave.then('the operators\' port serves "{path}" with "{text}"')
 def check_operators(context, path, text):
     address = context.side.instance.operators_address
     caller = exchanges.Caller(operated.split_address(address))
@@ -816,8 +824,8 @@
     assert found.status == 200 and text.encode() in found.body, found.data
 
 
-@behave.when('the instance is {seconds:g} seconds behind')
-def fall_behind(context, seconds):
+@behave.when('the event loop is {seconds:g} seconds behind schedule')
+def set_lag(context, seconds):
     patched = mock.patch.object(
         pressure.Pressure, 'read_lag', lambda self: seconds
     )
@@ -825,19 +833,21 @@
     context.add_cleanup(patched.stop)
 
 
-@behave.given('the instance notices departures late')
-def notice_late(context):
+@behave.given('the instance does not watch for callers that disconnect')
+def disable_watch(context):
     patched = mock.patch.object(callers.Caller, 'watch', lambda self: None)
     patched.start()
     context.add_cleanup(patched.stop)
 
 
-@behave.when('a caller of "{path}" has left before its request is sent on')
-def leave_unseen(context, path):
+@behave.when(
+    'a caller of "{path}" disconnects before its request is forwarded'
+)
+def disconnect_unnoticed(context, path):
     caller = exchanges.Caller(context.side.address)
     caller.send(operated.write_request(path, 'a-1'))
     caller.close()
-    # The instance reads the request and the end of the connection at once.
+    # The instance reads the request and the end of the connection together.
     exchanges.wait_until(
         lambda: context.side.instance.metrics.read('requests', 'caller_left')
     )
--- a/tests/support/operated.py
+++ b/tests/support/operated.py
@@ -1,4 +1,4 @@
-"""An instance on the users' platform, with stand-ins around it, in process."""
+"""Runs an instance in process, with a stand-in store and backend servers."""
 
 import json
 import re
@@ -18,10 +18,12 @@
 
 
 class Backend(exchanges.Script):
-    """A backend server that follows one plan a request.
+    """A backend server that handles each request by a plan.
 
-    `plans` holds functions of (backend, socket, request) for the next
-    requests; without one it answers each with 200 and its name.
+    A plan is a function of (backend, socket, request) that sends the answer
+    and returns False to close the connection. `plans` holds the plans of the
+    next requests; after these, each request is handled by `always`, if set,
+    or else answered with 200 and the name of the server.
     """
 
     def __init__(self, name, *, service, zone='a', slots=8):
@@ -41,7 +43,7 @@
         self.born = 1
 
     def build_entry(self, state='ready', **values):
-        """Return the entry by which it registers itself."""
+        """Return the entry with which the server registers itself."""
         return {
             'service': self.service,
             'address': self.address,
@@ -72,7 +74,7 @@
 
 
 class Request:
-    """One request as a backend server got it."""
+    """One request as received by a backend server."""
 
     def __init__(self, data):
         head, _, self.body = data.partition(b'\r\n\r\n')
@@ -84,7 +86,7 @@
 
 
 def write_sealed(backend, request, body, *, status='200 OK', **headers):
-    """Return a whole answer's bytes, signed by a backend server."""
+    """Return the bytes of a whole answer with a backend server's seal."""
     if backend.leaving:
         headers['Server_Leaving'] = '1'
     return exchanges.write_answer(
@@ -98,7 +100,7 @@
 
 
 def write_refusal(backend, request, status, **headers):
-    """Return a backend server's answer that says 'not run'."""
+    """Return the bytes of an answer that marks its request as not run."""
     if backend.leaving:
         headers['Server_Leaving'] = '1'
     return exchanges.write_answer(
@@ -111,7 +113,7 @@
 
 
 def write_stream_head(backend, request):
-    """Return the head of a stream of events."""
+    """Return the status line and headers of a stream of events."""
     leaving_line = 'Server-Leaving: 1\r\n' if backend.leaving else ''
     return (
         'HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n'
@@ -123,7 +125,7 @@
 
 
 def write_events(first, last):
-    """Return events by their ids, in one piece."""
+    """Return the bytes of the events with the ids `first` to `last`."""
     return b''.join(
         b'id: %d\ndata: event-%d\n\n' % (number, number)
         for number in range(first, last + 1)
@@ -131,9 +133,12 @@
 
 
 def stream(first, last, *, cut=b'', end=True):
-    """Return a plan: a stream of events, cut after some more bytes."""
+    """Return a plan that streams events, followed by the bytes in `cut`.
 
-    def follow(backend, sock, request):
+    Without `end`, the connection is closed before the end of the stream.
+    """
+
+    def respond(backend, sock, request):
         sock.sendall(write_stream_head(backend, request))
         events = write_events(first, last)
         sock.sendall(exchanges.write_chunk(events + cut))
@@ -141,33 +146,37 @@
             sock.sendall(b'0\r\n\r\n')
         return end
 
-    return follow
+    return respond
 
 
 def answer(status, body=b'', **headers):
-    """Return a plan: one whole signed answer."""
+    """Return a plan that sends one whole answer with the server's seal."""
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         sock.sendall(
             write_sealed(backend, request, body, status=status, **headers)
         )
 
-    return follow
+    return respond
 
 
 def refuse(status='503 Service Unavailable', **headers):
-    """Return a plan: 'not run'."""
+    """Return a plan that refuses the request as not run."""
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         sock.sendall(write_refusal(backend, request, status, **headers))
 
-    return follow
+    return respond
 
 
 def send_raw(data, *, end=None):
-    """Return a plan: some bytes, then the connection's end or none."""
+    """Return a plan that sends `data` after substituting placeholders.
+
+    `end` is 'close' or 'reset' to end the connection in that way, or None to
+    keep it open.
+    """
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         text = data.replace(b'ATTEMPT', request.attempt.encode())
         sock.sendall(text.replace(b'SEAL', f'{_SEAL}: x'.encode()))
         if end == 'reset':
@@ -176,7 +185,7 @@
             )
         return end is None
 
-    return follow
+    return respond
 
 
 def crash(backend, sock, request):
@@ -186,14 +195,14 @@
 
 
 def wait_for_caller(backend, sock, request):
-    """Answer nothing, and count a caller that closes meanwhile."""
+    """Send no answer; count the request if its connection is closed."""
     if not sock.recv(1):
         backend.closed_early += 1
     return False
 
 
 def build_route(name, kind, service, **values):
-    """Return a route as the operator writes it."""
+    """Return a route in the format of the operator's configuration."""
     return {
         'name': name,
         'host': HOST,
@@ -209,7 +218,7 @@
 
 
 def build_configuration(version=1, **values):
-    """Return the operator's configuration: a route of each kind."""
+    """Return an operator's configuration with routes of each kind."""
     engine = {'slots': 8, 'kv_capacity': 100000, 'models': [{'name': 'm'}]}
     return {
         'version': version,
@@ -266,7 +275,8 @@
         }
         sections['platform'] = platform | sections.get('platform', {})
         sections['addresses'] = {'readiness': '127.0.0.1:0'}
-        # What a busy machine does to this process is no part of a scenario.
+        # High, so that a busy machine does not make the instance refuse
+        # requests in scenarios on other behaviour.
         sections['limits'] = {'behind_seconds': 60.0} | sections.get(
             'limits', {}
         )
@@ -286,26 +296,26 @@
         return split_address(self.instance.readiness_address)
 
     def order(self, path, **values):
-        """Order something of the store's stand-in."""
+        """Send a control command to the stand-in store."""
         return ask_json(('127.0.0.1', self.store.server_port), path, values)
 
     def configure(self, version=1, **values):
-        """Write a version as the operator does."""
+        """Write a configuration version to the store, as the operator does."""
         text = json.dumps(build_configuration(version, **values))
         self.order('/standin/put', key='op/config', text=text)
 
     def register(self, backend, **values):
-        """Write a backend server's entry as it does."""
+        """Write the entry of a backend server, as the server does itself."""
         self.backends[backend.name] = backend
         self.write_entry(backend.name, backend.build_entry(**values))
 
     def write_entry(self, name, entry):
-        """Write an entry, whatever it holds."""
+        """Write the entry of a server; a string is written as it is."""
         text = entry if isinstance(entry, str) else json.dumps(entry)
         self.order('/standin/put', key=f'servers/{name}', text=text)
 
     def remove_entry(self, name):
-        """Let an entry lapse."""
+        """Remove the entry of a server, as if it had expired."""
         self.order('/standin/remove', key=f'servers/{name}')
 
     def start(self):
@@ -315,7 +325,7 @@
         self.wait_known()
 
     def wait_known(self):
-        """Wait until the instance knows what the store holds now."""
+        """Wait until the instance has applied the store's current revision."""
         exchanges.wait_until(
             lambda: (
                 self.instance.read_revision() == self.service.read_revision()
@@ -325,16 +335,16 @@
     def ask(self, path, *, attempt='a-1', caller=None, **options):
         """Send one request and return its answer."""
         data = write_request(path, attempt, **options)
-        own = caller or exchanges.Caller(self.address)
-        own.send(data)
+        connection = caller or exchanges.Caller(self.address)
+        connection.send(data)
         try:
-            return own.receive()
+            return connection.receive()
         finally:
             if caller is None:
-                own.close()
+                connection.close()
 
     def read_status(self):
-        """Return the status from the operators' port."""
+        """Return the status served at the operators' port."""
         address = split_address(self.instance.operators_address)
         caller = exchanges.Caller(address)
         try:
@@ -354,7 +364,7 @@
         return [each['key'] for each in entries]
 
     def is_ready(self):
-        """Ask at the readiness address."""
+        """Return whether the instance's readiness check succeeds."""
         caller = exchanges.Caller(self.readiness)
         try:
             caller.send(b'GET /-/readiness HTTP/1.1\r\nHost: x\r\n\r\n')
@@ -380,7 +390,7 @@
 def write_request(
     path, attempt, *, method='POST', key='key-a', host=HOST, body=b'', **more
 ):
-    """Return a request's bytes as a client of the platform writes it."""
+    """Return the bytes of a request as a client of the platform sends it."""
     headers = {
         'Host': host,
         'Amaranthslip-Attempt-Id': attempt,
@@ -397,7 +407,7 @@
 
 
 def ask_json(address, path, values):
-    """Post JSON; return the answer's JSON."""
+    """Send JSON in a POST request and return the JSON of the answer."""
     caller = exchanges.Caller(address)
     body = json.dumps(values).encode()
     head = f'POST {path} HTTP/1.1\r\nHost: x\r\nContent-Length: {len(body)}'
@@ -411,10 +421,10 @@
 
 
 def read_ids(received):
-    """Return the ids of a stream's events, in their order."""
+    """Return the event ids of a received stream, in order."""
     return [int(each) for each in re.findall(rb'id: (\d+)', received.body)]
 
 
 def spawn(function, *args, **options):
-    """Run a step's call beside the rest."""
+    """Run a function in a new greenlet, concurrently with the steps."""
     return gevent.spawn(function, *args, **options)
