--- a/src/amaranthslip/requests/__init__.py
+++ b/src/amaranthslip/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: a request's life, from its ticket to its outcome."""
+"""Request admission, retries, idempotency claims and quarantine."""
 
 from amaranthslip.requests.outcomes import Outcome
 from amaranthslip.requests.tickets import Ticket
--- a/src/amaranthslip/requests/budget.py
+++ b/src/amaranthslip/requests/budget.py
@@ -1,4 +1,4 @@
-"""The budget of second tries that the whole fleet shares, by service."""
+"""Retry budget of each service, divided among all instances."""
 
 import collections
 import time
@@ -6,39 +6,44 @@
 
 from amaranthslip import settings as settings_
 
-# This instance's part of the fleet's slack is cut to this fraction: members
-# join and leave, and each may believe in another number of them.
-_CAUTION = 0.8
-_BUCKETS = 10
+# Fraction of the computed retry limit that an instance uses. The margin covers
+# members that join or leave, because instances can temporarily count
+# different numbers of members.
+_LIMIT_FRACTION = 0.8
+_BUCKETS_PER_WINDOW = 10
 
 
-class _Service:
-    """Counts of one service; each bucket is [number, requests, retries]."""
+class _ServiceCounts:
+    """Counts of one service, as buckets of [number, requests, retries].
+
+    The number identifies the time slice that the bucket covers.
+    """
 
     __slots__ = ('buckets',)
 
     def __init__(self) -> None:
         self.buckets: collections.deque[list[float]] = collections.deque(
-            maxlen=2 * _BUCKETS
+            maxlen=2 * _BUCKETS_PER_WINDOW
         )
 
 
 class FleetBudget:
-    """How many second tries this instance may still make, by service.
+    """Limits the retries of this instance, separately for each service.
 
-    In each window a service takes `retry_ratio` of its requests, and a
-    slack besides, as second tries, over all instances. Each keeps to the
-    ratio of its own requests and to an even part of the slack: no message
-    is needed, and the sum holds whatever the others do.
+    In each window, all instances together may retry `retry_ratio` of the
+    requests for a service, plus `retry_slack` retries. Each instance applies
+    the ratio to its own requests and uses an equal part of the slack.
+    No messages are exchanged for this: if each instance stays within its own
+    part, the total stays within the limit.
 
     Parameters
     ----------
     settings : Settings
         `bounds.retry_ratio`, `retry_window_seconds` and `retry_slack`.
     count_instances : callable
-        How many instances share the slack now.
+        Returns the number of live instances, which share the slack.
     clock : callable
-        Seconds that only grow.
+        Returns monotonic time in seconds.
     """
 
     __slots__ = ('_settings', '_count_instances', '_clock', '_services')
@@ -53,34 +58,36 @@
         self._settings = settings
         self._count_instances = count_instances
         self._clock = clock
-        self._services: dict[str, _Service] = {}
+        self._services: dict[str, _ServiceCounts] = {}
 
     def note_request(self, service: str) -> None:
-        """Count a request of a caller."""
-        self._bucket(service)[1] += 1
+        """Count a new request, which increases the budget."""
+        self._find_current_bucket(service)[1] += 1
 
     def take(self, service: str) -> bool:
-        """Take one second try; False: the budget is spent."""
+        """Consume one retry; return False if the budget is exhausted."""
         bounds = self._settings.bounds
-        bucket = self._bucket(service)
-        oldest = bucket[0] - _BUCKETS
+        bucket = self._find_current_bucket(service)
+        oldest = bucket[0] - _BUCKETS_PER_WINDOW
         requests = retries = 0.0
-        for number, asked, retried in self._services[service].buckets:
+        for number, requested, retried in self._services[service].buckets:
             if number > oldest:
-                requests += asked
+                requests += requested
                 retries += retried
         slack = bounds.retry_slack / max(1, self._count_instances())
-        if retries + 1 > _CAUTION * (bounds.retry_ratio * requests + slack):
+        if retries + 1 > _LIMIT_FRACTION * (
+            bounds.retry_ratio * requests + slack
+        ):
             return False
         bucket[2] += 1
         return True
 
-    def _bucket(self, service: str) -> list[float]:
-        entry = self._services.get(service)
-        if entry is None:
-            entry = self._services[service] = _Service()
+    def _find_current_bucket(self, service: str) -> list[float]:
+        counts = self._services.get(service)
+        if counts is None:
+            counts = self._services[service] = _ServiceCounts()
         window = self._settings.bounds.retry_window_seconds
-        number = int(self._clock() * _BUCKETS / window)
-        if not entry.buckets or entry.buckets[-1][0] != number:
-            entry.buckets.append([number, 0.0, 0.0])
-        return entry.buckets[-1]
+        number = int(self._clock() * _BUCKETS_PER_WINDOW / window)
+        if not counts.buckets or counts.buckets[-1][0] != number:
+            counts.buckets.append([number, 0.0, 0.0])
+        return counts.buckets[-1]
--- a/src/amaranthslip/requests/claim_groups.py
+++ b/src/amaranthslip/requests/claim_groups.py
@@ -1,8 +1,9 @@
-"""Groups of claims of one shard, written in one compare-and-swap.
+"""Groups claims of a shard into a single compare-and-swap write.
 
-Any instance may collect for any shard at any time: which one is asked only
-decides how many claims share a write. A claim is granted where a swap that
-holds it succeeded, or where it is read back under its own id.
+Any instance can collect claims for any shard at any time. The choice of the
+collector affects only how many claims share a write, not correctness. A claim
+is granted if a swap that contains it succeeds, or if the stored shard already
+contains the claim with its own id.
 """
 
 import logging
@@ -21,35 +22,36 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Settlements wait for a claim's write to go along with, at most so long.
-SETTLE_SECONDS = 0.5
+# Longest time for which settlements wait to share the write of a claim.
+SETTLEMENT_DELAY_SECONDS = 0.5
 
-# Beyond this many waiting claims a shard refuses more: at ten groups a
-# second of 100 claims each, five seconds' worth.
-_MOST_WAITING = 5000
+# Limits on the queued claims and on the queued settlements of a shard. At ten
+# groups per second of 100 claims each, this many claims take five seconds.
+_MAX_QUEUED = 5000
 
-# A running claim older than this, or of an instance that is gone, is told
-# as unknown: nobody will settle it any more, most likely.
-IN_PROGRESS_SECONDS = 900.0
+# A running claim that is older than this, or whose owner is no longer live,
+# is reported as unknown, because it will probably never be settled.
+MAX_IN_PROGRESS_SECONDS = 900.0
 
-# Dropping old records goes through all of them: not with every group.
-_EXPIRE_SECONDS = 60.0
+# Seconds between removals of expired records. A removal scans all records of
+# the shard, which is too expensive for every group.
+_EXPIRY_INTERVAL_SECONDS = 60.0
 
-_LEAST_BACKOFF_SECONDS = 0.01
-_MOST_BACKOFF_SECONDS = 1.0
+_BASE_BACKOFF_SECONDS = 0.01
+_MAX_BACKOFF_SECONDS = 1.0
 
 _Result = claim_messages.ClaimResult
 
 
 class Reply(typing.Protocol):
-    """Where a result goes: to a greenlet here, or to a peer."""
+    """Callback that delivers a result to a local greenlet or to a peer."""
 
     def __call__(self, result: claim_messages.ClaimResult) -> None:
-        """Deliver the result; must not block."""
+        """Deliver the result without blocking."""
 
 
 class PendingClaim:
-    """One claim that waits for its group to be written."""
+    """A claim that is queued for the next group write."""
 
     __slots__ = ('request', 'owner', 'deadline', 'reply')
 
@@ -68,7 +70,7 @@
 
 
 class PendingSettlement:
-    """One settlement that waits; `reply` is called when it is kept."""
+    """A settlement that is queued; `reply` is called once it is stored."""
 
     __slots__ = ('settlement', 'deadline', 'reply')
 
@@ -85,16 +87,17 @@
 
 
 class ClaimGroup:
-    """Collects one shard's claims here and writes them together.
+    """Collects claims of one shard at this instance and writes them together.
 
     Parameters
     ----------
     key : str
-        The shard's whole key in the key-value service.
+        The full key of the shard in the key-value service.
     is_live : callable
-        Says whether the owner with this number is a live instance.
+        Returns whether the owner with a given number is a live instance.
     clock : callable
-        Seconds since the epoch, within 30 s of the other instances' clocks.
+        Returns seconds since the epoch, within 30 s of the clocks of the other
+        instances.
     """
 
     __slots__ = (
@@ -106,10 +109,10 @@
         '_clock',
         '_claims',
         '_settlements',
-        '_claimed',
-        '_cache',
-        '_last',
-        '_expired',
+        '_claim_added',
+        '_cached_shard',
+        '_last_written',
+        '_last_expiry',
         '_worker',
     )
 
@@ -131,40 +134,47 @@
         self._clock = clock
         self._claims: list[PendingClaim] = []
         self._settlements: list[PendingSettlement] = []
-        self._claimed = event.Event()
-        self._cache: claim_records.Shard | None = None
-        self._last: claim_records.Shard | None = None
-        self._expired = 0.0
+        self._claim_added = event.Event()
+        self._cached_shard: claim_records.Shard | None = None
+        self._last_written: claim_records.Shard | None = None
+        self._last_expiry = 0.0
         self._worker: gevent.Greenlet | None = None
 
     def add_claim(self, claim: PendingClaim) -> None:
-        """Take a claim into the next group."""
-        if len(self._claims) >= _MOST_WAITING:
+        """Queue a claim for the next group.
+
+        If the queue is full, the claim is answered with UNAVAILABLE.
+        """
+        if len(self._claims) >= _MAX_QUEUED:
             claim.reply(_Result.UNAVAILABLE)
             return
         self._claims.append(claim)
-        self._claimed.set()
-        self._start()
+        self._claim_added.set()
+        self._start_worker()
 
     def add_settlement(self, settlement: PendingSettlement) -> None:
-        """Take a settlement into the next group; it may come again."""
-        if len(self._settlements) < _MOST_WAITING:
+        """Queue a settlement for the next group.
+
+        A settlement is dropped if the queue is full, because its sender
+        repeats it until it is acknowledged.
+        """
+        if len(self._settlements) < _MAX_QUEUED:
             self._settlements.append(settlement)
-            self._start()
+            self._start_worker()
 
     def close(self) -> None:
-        """End the work; what waits gets no answer any more."""
+        """Stop the worker; queued claims and settlements get no reply."""
         if self._worker is not None:
             self._worker.kill()
 
-    def _start(self) -> None:
+    def _start_worker(self) -> None:
         if self._worker is None:
-            self._worker = gevent.spawn(self._work)
+            self._worker = gevent.spawn(self._run_worker)
 
-    def _work(self) -> None:
+    def _run_worker(self) -> None:
         try:
             while self._claims or self._settlements:
-                self._claimed.wait(SETTLE_SECONDS)
+                self._claim_added.wait(SETTLEMENT_DELAY_SECONDS)
                 gevent.sleep(self._settings.claims.group_seconds)
                 self._write_group()
         finally:
@@ -178,8 +188,8 @@
             claims += self._claims
             settlements += self._settlements
             self._claims, self._settlements = [], []
-            self._claimed.clear()
-            claims, settlements = _drop_late(claims, settlements)
+            self._claim_added.clear()
+            claims, settlements = _drop_overdue(claims, settlements)
             if not claims and not settlements:
                 return
             results = self._try_swap(claims, settlements)
@@ -200,9 +210,9 @@
         try:
             return self._swap(claims, settlements)
         except errors.PlatformError as error:
-            # A swap whose answer was lost may be in: the next attempt reads
-            # the value and finds its claims there by their ids, or swaps
-            # against a revision that makes the lost one fail.
+            # A swap whose answer was lost may have taken effect. The next
+            # attempt reads the value, and either finds the claims by their
+            # ids, or writes a new revision that makes a delayed swap fail.
             self._metrics.count('claims', 'swap_failed')
             _LOG.warning('claims_not_written', extra={'error': str(error)})
             return None
@@ -212,17 +222,18 @@
         claims: typing.Sequence[PendingClaim],
         settlements: typing.Sequence[PendingSettlement],
     ) -> list[claim_messages.ClaimResult] | None:
-        shard, self._cache = self._cache, None
+        shard, self._cached_shard = self._cached_shard, None
         cached = shard is not None
         if shard is None:
-            shard = self._read()
+            shard = self._read_shard()
         results = self._apply(shard, claims, settlements)
         if not shard.changed:
-            if cached and (settlements or _are_held(results)):
-                # The cache may be old: it may lack a claim that another
-                # instance wrote, or show one as running that was settled.
+            if cached and (settlements or _has_denied_claims(results)):
+                # The cached shard may be outdated: it may lack a claim that
+                # another instance wrote, or contain a claim as running that
+                # was settled since. Read the stored shard instead.
                 return self._swap(claims, settlements)
-            self._cache = shard
+            self._cached_shard = shard
             return results
         self._metrics.count('claims', 'swap')
         revision = self._key_value.swap(
@@ -233,7 +244,7 @@
             return None
         shard.revision = revision
         shard.changed = False
-        self._cache = self._last = shard
+        self._cached_shard = self._last_written = shard
         return results
 
     def _apply(
@@ -243,51 +254,54 @@
         settlements: typing.Sequence[PendingSettlement],
     ) -> list[claim_messages.ClaimResult]:
         now = self._clock()
-        if not 0 <= now - self._expired < _EXPIRE_SECONDS:
-            self._expired = now
+        if not 0 <= now - self._last_expiry < _EXPIRY_INTERVAL_SECONDS:
+            self._last_expiry = now
             shard.expire(now, self._settings.claims.window_seconds)
-        for each in settlements:
-            shard.settle(each.settlement)
+        for pending in settlements:
+            shard.settle(pending.settlement)
         results = []
         for claim in claims:
             result = shard.claim(claim.request, claim.owner, now)
             if result == _Result.IN_PROGRESS:
-                held = shard.get(claim.request.key_hash)
-                result = self._judge(held, now)
+                existing = shard.get(claim.request.key_hash)
+                result = self._classify_running_claim(existing, now)
             results.append(result)
         return results
 
-    def _judge(
-        self, held: claim_records.Record, now: float
+    def _classify_running_claim(
+        self, existing: claim_records.Record, now: float
     ) -> claim_messages.ClaimResult:
-        if held.seconds < now - IN_PROGRESS_SECONDS:
+        if existing.claimed_at < now - MAX_IN_PROGRESS_SECONDS:
             return _Result.UNKNOWN
-        if not self._is_live(held.owner):
+        if not self._is_live(existing.owner):
             return _Result.UNKNOWN
         return _Result.IN_PROGRESS
 
-    def _read(self) -> claim_records.Shard:
+    def _read_shard(self) -> claim_records.Shard:
         entry = self._key_value.get(self._key)
         if entry is None:
             shard = claim_records.Shard(0)
         else:
             shard = claim_records.read_shard(entry.value, entry.revision)
-        if self._last is not None and shard.revision < self._last.revision:
-            # The service was restored to an older state: without the claims
-            # made since, their requests could run again.
-            _LOG.error('claims_went_back')
+        if (
+            self._last_written is not None
+            and shard.revision < self._last_written.revision
+        ):
+            # The service was restored to an older state. Requests claimed
+            # after that state could run again, so the claims are added back.
+            _LOG.error('claims_revision_decreased')
             self._metrics.count('claims', 'restored')
-            shard.merge(self._last)
+            shard.merge(self._last_written)
         return shard
 
 
-def _are_held(
+def _has_denied_claims(
     results: typing.Sequence[claim_messages.ClaimResult],
 ) -> bool:
     return any(result != _Result.GRANTED for result in results)
 
 
-def _drop_late(
+def _drop_overdue(
     claims: list[PendingClaim], settlements: list[PendingSettlement]
 ) -> tuple[list[PendingClaim], list[PendingSettlement]]:
     now = time.monotonic()
@@ -296,10 +310,10 @@
             claim.reply(_Result.UNAVAILABLE)
     return (
         [claim for claim in claims if claim.deadline > now],
-        [each for each in settlements if each.deadline > now],
+        [pending for pending in settlements if pending.deadline > now],
     )
 
 
 def _choose_backoff(attempt: int) -> float:
-    longest = _LEAST_BACKOFF_SECONDS * 2 ** min(attempt, 10)
-    return random.uniform(0, min(longest, _MOST_BACKOFF_SECONDS))
+    ceiling = _BASE_BACKOFF_SECONDS * 2 ** min(attempt, 10)
+    return random.uniform(0, min(ceiling, _MAX_BACKOFF_SECONDS))
--- a/src/amaranthslip/requests/claim_layout.py
+++ b/src/amaranthslip/requests/claim_layout.py
@@ -1,4 +1,4 @@
-"""Agreement of all instances on how claims are laid out."""
+"""Check that all instances use the same storage layout for claims."""
 
 import contextlib
 import typing
@@ -10,74 +10,78 @@
 
 
 class Layout:
-    """The number of shards and the window, checked once against the fleet.
+    """The number of shards and the window, verified against the stored layout.
 
-    An instance with another number of shards would look for a key in
-    another value, find no claim, and run the request a second time; one with
-    a shorter window would drop claims that others rely on. The first
-    instance writes its layout; one that differs makes no claims.
+    An instance with a different number of shards would look for a key in a
+    different shard, find no claim, and run the request a second time. An
+    instance with a shorter window would remove claims that other instances
+    rely on. The first instance stores its layout, and an instance with a
+    different layout makes no claims.
     """
 
-    __slots__ = ('_settings', '_key_value', '_agreed', '_checking')
+    __slots__ = ('_settings', '_key_value', '_verified', '_check_result')
 
     def __init__(
         self, settings_: settings.Settings, key_value: typing.Any
     ) -> None:
         self._settings = settings_
         self._key_value = key_value
-        self._agreed = False
-        self._checking: event.AsyncResult | None = None
+        self._verified = False
+        self._check_result: event.AsyncResult | None = None
 
     def check(self) -> None:
-        """Return when the layouts agree; one read for each process.
+        """Verify the layout; once it matches, later calls return immediately.
 
         Raises
         ------
         PlatformError
-            They differ, or the service can't be asked.
+            The layouts differ, or the key-value service is unavailable.
         """
-        if self._agreed:
+        if self._verified:
             return
-        if self._checking is not None:
-            # Callers that come together share one call and its outcome.
-            self._checking.get()
+        if self._check_result is not None:
+            # Concurrent callers share one check and its outcome.
+            self._check_result.get()
             return
-        checking = self._checking = event.AsyncResult()
+        result = self._check_result = event.AsyncResult()
         try:
-            self._compare()
+            self._verify()
         except BaseException as error:
             if isinstance(error, errors.PlatformError):
-                checking.set_exception(error)
+                result.set_exception(error)
             else:
-                checking.set_exception(
-                    errors.PlatformUnavailable('the check was left, retry')
+                result.set_exception(
+                    errors.PlatformUnavailable(
+                        'the layout check was interrupted; retry'
+                    )
                 )
             raise
         finally:
-            self._checking = None
-        self._agreed = True
-        checking.set()
+            self._check_result = None
+        self._verified = True
+        result.set()
 
-    def _compare(self) -> None:
+    def _verify(self) -> None:
         key = f'{self._settings.platform.prefix}claims/layout'
-        mine = self._write()
+        own_layout = self._encode_layout()
         entry = self._key_value.get(key)
         if entry is None:
             with contextlib.suppress(errors.AnswerLost):
-                self._key_value.swap(key, mine, expected=0)
-            # Another first instance may have won, or the answer was lost:
-            # what stands now decides.
+                self._key_value.swap(key, own_layout, expected=0)
+            # Another instance may have stored its layout first, or the answer
+            # may have been lost. The stored value is authoritative.
             entry = self._key_value.get(key)
         if entry is None:
-            raise errors.PlatformUnavailable(f'{key} was not written, retry')
-        if entry.value != mine:
+            raise errors.PlatformUnavailable(f'{key} was not written; retry')
+        if entry.value != own_layout:
             raise errors.PlatformRefused(
-                f'settings claims.* give {mine!r}, the fleet uses '
-                f'{entry.value!r}: use the same on all instances; to change '
-                f'it, stop all of them and delete {key} and the claims'
+                f'settings claims.* give {own_layout!r}, but the fleet uses '
+                f'{entry.value!r}: use the same values on all instances; to '
+                f'change them, stop all instances and delete {key} and all '
+                'claims'
             )
 
-    def _write(self) -> bytes:
+    def _encode_layout(self) -> bytes:
         claims = self._settings.claims
         return (
             f'shards={claims.shards} window_seconds={claims.window_seconds:g}'
--- a/src/amaranthslip/requests/claim_messages.py
+++ b/src/amaranthslip/requests/claim_messages.py
@@ -1,10 +1,10 @@
-"""What instances tell one another about claims of idempotency keys."""
+"""Messages between instances about claims of idempotency keys."""
 
 import enum
 
 
 class ClaimState(enum.IntEnum):
-    """How far the request under a claim has come."""
+    """The state of the request under a claim."""
 
     RUNNING = 0
     DONE = 1
@@ -12,23 +12,25 @@
 
 
 class ClaimResult(enum.IntEnum):
-    """What became of one try to claim."""
+    """The result of one attempt to claim a key."""
 
     GRANTED = 0
-    # Another claim holds the key: its request runs, ran, or may have run.
+    # Another claim holds the key. Its request is running, has run, or may have
+    # run, in the order of the next three values.
     IN_PROGRESS = 1
     ALREADY_DONE = 2
     UNKNOWN = 3
-    # The key was used with another request body.
+    # The key was already used for a different request.
     KEY_REUSED = 4
-    # No room for another record.
+    # The shard has no space for another record.
     FULL = 5
-    # The key-value service gave no answer, or the claim was withdrawn.
+    # The key-value service did not answer in time, the claim queue was full,
+    # or the claim was withdrawn.
     UNAVAILABLE = 6
 
 
 class ClaimRequest:
-    """Asks the collector of the key's shard to claim the key."""
+    """Asks the collector of a key's shard to claim the key."""
 
     __slots__ = ('key_hash', 'claim_id', 'fingerprint')
 
@@ -52,9 +54,9 @@
 
 
 class ClaimSettlement:
-    """Tells how a claimed request ended; `state` is a ClaimState.
+    """Reports how a claimed request ended; `state` is a ClaimState.
 
-    `number` is the sender's own, and comes back when it is kept.
+    `number` is chosen by the sender and returned in the ClaimSettled message.
     """
 
     __slots__ = ('key_hash', 'claim_id', 'state', 'number')
@@ -69,7 +71,7 @@
 
 
 class ClaimSettled:
-    """Tells that a settlement is kept, or has nothing to change."""
+    """Confirms that a settlement is stored, or that it changes nothing."""
 
     __slots__ = ('claim_id', 'number')
 
--- a/src/amaranthslip/requests/claim_records.py
+++ b/src/amaranthslip/requests/claim_records.py
@@ -1,4 +1,4 @@
-"""The records of one shard of claims, as one value of the service."""
+"""Records of claims, packed into one key-value entry for each shard."""
 
 import struct
 import typing
@@ -6,42 +6,46 @@
 from amaranthslip import errors
 from amaranthslip.requests import claim_messages
 
-# Key hash, claim id, fingerprint, seconds of the clock, owner (48 bits) and
-# state (its 8 upper bits).
+# Key hash, claim id, fingerprint, time of the claim in seconds since the
+# epoch, and one word with the owner in the lower 48 bits and the state in the
+# upper 8 bits.
 _RECORD = struct.Struct('>16sQQIQ')
 RECORD_BYTES = _RECORD.size
 _STATE_SHIFT = 48
 _OWNER_MASK = (1 << _STATE_SHIFT) - 1
 _FORMAT = b'C1'
 _HASH_BYTES = 16
-_SECONDS, _OWNER_AND_STATE = 3, 4
+_CLAIMED_AT_INDEX, _OWNER_AND_STATE_INDEX = 3, 4
 
-# The service holds a megabyte; the rest is room for settlements.
-MOST_BYTES = 900000
-MOST_RECORDS = (MOST_BYTES - len(_FORMAT)) // RECORD_BYTES
+# The key-value service accepts values of up to 1,000,000 bytes. The remainder
+# is reserved for settlements.
+MAX_SHARD_BYTES = 900000
+MAX_RECORDS = (MAX_SHARD_BYTES - len(_FORMAT)) // RECORD_BYTES
 
-# Records are kept for so much longer than keys are accepted: four times the
-# 30 s by which the instances' clocks may differ (a key's age is judged by
-# one clock, its record's by another, twice each).
-CLOCK_SECONDS = 30.0
-EXTRA_SECONDS = 4 * CLOCK_SECONDS
+# Largest difference between the clocks of two instances.
+MAX_CLOCK_SKEW_SECONDS = 30.0
+# Time for which records are kept after keys of their age are no longer
+# accepted. The age of a key and the age of its record are measured by
+# different clocks, twice each, so the time is four times the largest clock
+# difference.
+RETENTION_MARGIN_SECONDS = 4 * MAX_CLOCK_SKEW_SECONDS
 
-# A claim that was withdrawn is kept for so long to meet its own late
-# repetition; a repetition after that is withdrawn again by its owner.
-_WITHDRAWN_SECONDS = 120.0
+# Time for which a withdrawn claim is kept, so that a delayed repetition of the
+# same claim finds it. The owner withdraws a later repetition again.
+_WITHDRAWN_RETENTION_SECONDS = 120.0
 
 _State = claim_messages.ClaimState
 _Result = claim_messages.ClaimResult
 
 
 class Record:
-    """One key's claim."""
+    """The claim of one key."""
 
     __slots__ = (
         'key_hash',
         'claim_id',
         'fingerprint',
-        'seconds',
+        'claimed_at',
         'owner',
         'state',
     )
@@ -52,40 +56,43 @@
         key_hash: bytes,
         claim_id: int,
         fingerprint: int,
-        seconds: int,
+        claimed_at: int,
         owner: int,
         state: claim_messages.ClaimState = _State.RUNNING,
     ) -> None:
         self.key_hash = key_hash
         self.claim_id = claim_id
         self.fingerprint = fingerprint
-        self.seconds = seconds
+        self.claimed_at = claimed_at
         self.owner = owner
         self.state = state
 
     def pack(self) -> bytes:
-        """Return the record's bytes."""
+        """Return the record in its binary form."""
         return _RECORD.pack(
             self.key_hash,
             self.claim_id,
             self.fingerprint,
-            self.seconds,
+            self.claimed_at,
             self.state << _STATE_SHIFT | self.owner,
         )
 
-    def overrules(self, other: 'Record') -> bool:
-        """Say which of two records of a key to keep after a restore."""
+    def supersedes(self, other: 'Record') -> bool:
+        """Return whether to keep this record of a key and not the other one.
+
+        Used to merge records after a restore of the key-value service.
+        """
         if self.claim_id != other.claim_id:
-            return self.seconds > other.seconds
+            return self.claimed_at > other.claimed_at
         return other.state == _State.RUNNING
 
 
 class Shard:
-    """The records of one value, at the revision they were read at.
+    """The records of one shard, with the revision at which they were read.
 
-    They stay packed: read one by one into objects, 20,000 of them held up a
-    process that relays streams for 71 ms (one run), against 6 ms as it is.
-    `changed` says that there is something to write.
+    The records stay packed. Unpacking 20,000 of them into objects blocked a
+    process that relays streams for 71 ms, compared with 6 ms for the packed
+    form (one run). `changed` is true if the shard has to be written.
     """
 
     __slots__ = ('_value', '_offsets', 'revision', 'changed')
@@ -113,12 +120,12 @@
         return bytes(self._value)
 
     def get(self, key_hash: bytes) -> Record | None:
-        """Return a key's record, or None."""
+        """Return the record of a key, or None if there is none."""
         offset = self._offsets.get(key_hash)
         return None if offset is None else self._unpack(offset)
 
     def put(self, record: Record) -> None:
-        """Enter a record, in place of the key's former one."""
+        """Insert a record, or replace the record of the same key."""
         offset = self._offsets.get(record.key_hash)
         if offset is None:
             self._offsets[record.key_hash] = len(self._value)
@@ -128,14 +135,14 @@
         self.changed = True
 
     def _unpack(self, offset: int) -> Record:
-        key_hash, claim_id, fingerprint, seconds, owner_and_state = (
+        key_hash, claim_id, fingerprint, claimed_at, owner_and_state = (
             _RECORD.unpack_from(self._value, offset)
         )
         return Record(
             key_hash=key_hash,
             claim_id=claim_id,
             fingerprint=fingerprint,
-            seconds=seconds,
+            claimed_at=claimed_at,
             owner=owner_and_state & _OWNER_MASK,
             state=_State(owner_and_state >> _STATE_SHIFT),
         )
@@ -143,99 +150,102 @@
     def claim(
         self, request: claim_messages.ClaimRequest, owner: int, now: float
     ) -> claim_messages.ClaimResult:
-        """Enter a claim, unless another one holds the key.
+        """Insert a claim, unless another claim holds the key.
 
-        A claim that is there already under its own id is granted: it was
-        entered by a write whose answer was lost, or by another way.
+        A running claim that is already stored under the same id is granted.
+        It was stored by a write whose answer was lost, or by another instance
+        to which the same claim was sent.
         """
-        held = self.get(request.key_hash)
-        if held is not None and held.claim_id == request.claim_id:
-            return _OWN_RESULTS[held.state]
-        if held is not None and held.state != _State.NOT_RUN:
-            if held.fingerprint != request.fingerprint:
+        existing = self.get(request.key_hash)
+        if existing is not None and existing.claim_id == request.claim_id:
+            return _SAME_CLAIM_RESULTS[existing.state]
+        if existing is not None and existing.state != _State.NOT_RUN:
+            if existing.fingerprint != request.fingerprint:
                 return _Result.KEY_REUSED
-            return _HELD_RESULTS[held.state]
-        if held is None and len(self) >= MOST_RECORDS:
+            return _OTHER_CLAIM_RESULTS[existing.state]
+        if existing is None and len(self) >= MAX_RECORDS:
             return _Result.FULL
         record = Record(
             key_hash=request.key_hash,
             claim_id=request.claim_id,
             fingerprint=request.fingerprint,
-            seconds=int(now),
+            claimed_at=int(now),
             owner=owner,
         )
         self.put(record)
         return _Result.GRANTED
 
     def settle(self, settlement: claim_messages.ClaimSettlement) -> None:
-        """Enter how a claim ended; only a running one of this id changes.
+        """Set the final state of a claim, if it is running under the same id.
 
-        'Done' is never taken back: a withdrawal that comes late or twice
-        would otherwise let the request run again.
+        DONE is never overwritten. Otherwise, a delayed or repeated withdrawal
+        would let the request run again.
         """
-        held = self.get(settlement.key_hash)
-        if held is not None and held.claim_id == settlement.claim_id:
-            if held.state == _State.RUNNING:
-                held.state = _State(settlement.state)
-                self.put(held)
-        elif held is None or held.state == _State.NOT_RUN:
-            # A withdrawn claim that is not here may be on its way in a swap
-            # whose answer was lost. It would show as a claim that nobody
-            # runs; any write now makes that swap's comparison fail.
+        existing = self.get(settlement.key_hash)
+        if existing is not None and existing.claim_id == settlement.claim_id:
+            if existing.state == _State.RUNNING:
+                existing.state = _State(settlement.state)
+                self.put(existing)
+        elif existing is None or existing.state == _State.NOT_RUN:
+            # A withdrawn claim that is not stored may still be written by a
+            # delayed swap whose answer was lost. The claim would then block
+            # the key, although its request never runs. Writing the shard now
+            # makes the comparison of the delayed swap fail.
             self.changed |= settlement.state == _State.NOT_RUN
 
     def expire(self, now: float, window_seconds: float) -> None:
-        """Drop what is older than the window, or withdrawn for long."""
-        oldest = now - window_seconds - EXTRA_SECONDS
-        withdrawn = now - _WITHDRAWN_SECONDS
+        """Remove records past the window, and old withdrawn claims."""
+        oldest = now - window_seconds - RETENTION_MARGIN_SECONDS
+        withdrawn = now - _WITHDRAWN_RETENTION_SECONDS
         view = memoryview(self._value)
         kept = [
             view[offset : offset + RECORD_BYTES]
-            for offset, record in zip(
+            for offset, fields in zip(
                 range(len(_FORMAT), len(view), RECORD_BYTES),
                 _RECORD.iter_unpack(view[len(_FORMAT) :]),
             )
-            if record[_SECONDS] >= oldest
+            if fields[_CLAIMED_AT_INDEX] >= oldest
             and (
-                record[_OWNER_AND_STATE] >> _STATE_SHIFT != _State.NOT_RUN
-                or record[_SECONDS] >= withdrawn
+                fields[_OWNER_AND_STATE_INDEX] >> _STATE_SHIFT
+                != _State.NOT_RUN
+                or fields[_CLAIMED_AT_INDEX] >= withdrawn
             )
         ]
         if len(kept) < len(self):
             self._load(_FORMAT + b''.join(kept))
 
     def merge(self, other: 'Shard') -> None:
-        """Take over records that this one lacks, after a restore."""
+        """Add records that this shard lacks after a restore of the service."""
         for record in other:
-            mine = self.get(record.key_hash)
-            if mine is None or record.overrules(mine):
+            own = self.get(record.key_hash)
+            if own is None or record.supersedes(own):
                 self.put(record)
 
 
-_OWN_RESULTS = {
+_SAME_CLAIM_RESULTS = {
     _State.RUNNING: _Result.GRANTED,
     _State.DONE: _Result.ALREADY_DONE,
     _State.NOT_RUN: _Result.UNAVAILABLE,
 }
-_HELD_RESULTS = {
+_OTHER_CLAIM_RESULTS = {
     _State.RUNNING: _Result.IN_PROGRESS,
     _State.DONE: _Result.ALREADY_DONE,
 }
 
 
 def read_shard(value: bytes, revision: int) -> Shard:
-    """Return the shard that a value holds.
+    """Decode a stored value into a shard.
 
     Raises
     ------
     PlatformRefused
-        The value is in no form that this release knows.
+        The format of the value is not supported by this release.
     """
     body_bytes = len(value) - len(_FORMAT)
     if not value.startswith(_FORMAT) or body_bytes % RECORD_BYTES:
         raise errors.PlatformRefused(
-            'a value of claims is in a form that this release does not know; '
-            'run one release on all instances, and let nothing else write '
-            'below the claims prefix'
+            'a claims value has a format that this release does not support; '
+            'run the same release on all instances, and let no other program '
+            'write below the claims prefix'
         )
     return Shard(revision, value)
--- a/src/amaranthslip/requests/claim_settlements.py
+++ b/src/amaranthslip/requests/claim_settlements.py
@@ -1,4 +1,4 @@
-"""Settlements of claims, delivered until they are kept."""
+"""Delivery of claim settlements, repeated until they are stored."""
 
 import collections
 import random
@@ -10,35 +10,36 @@
 
 from amaranthslip.requests import claim_messages
 
-# Settlements that may wait for delivery, and withdrawn claims remembered for
-# a late grant: 900 claims a second over 720 instances make this many in
-# two hours.
-_MOST_KEPT = 10000
+# Limit on the undelivered settlements, and on the withdrawn claims that are
+# remembered in case a grant arrives late. With 900 claims per second over 720
+# instances, an instance makes this many claims in about two hours.
+_MAX_RETAINED = 10000
 
-_NUMBERS = 1 << 32
-_TICK_SECONDS = 0.1
-_LEAST_RETRY_SECONDS = 2.0
-_MOST_RETRY_SECONDS = 60.0
+_NUMBER_MODULUS = 1 << 32
+_POLL_SECONDS = 0.1
+_INITIAL_RETRY_SECONDS = 2.0
+_MAX_RETRY_SECONDS = 60.0
 
 
 class _Delivery:
-    """One settlement on its way."""
+    """A settlement that has not been acknowledged yet."""
 
-    __slots__ = ('settlement', 'attempts', 'due')
+    __slots__ = ('settlement', 'attempts', 'due_at')
 
     def __init__(self, settlement: claim_messages.ClaimSettlement) -> None:
         self.settlement = settlement
         self.attempts = 0
-        self.due = 0.0
+        self.due_at = 0.0
 
 
 class Settlements:
-    """Keeps each settlement until an instance says that it is written.
+    """Repeats each settlement until an instance confirms that it is stored.
 
     Parameters
     ----------
     deliver : callable
-        Sends one settlement off; called with the number of attempts before.
+        Sends one settlement; called with the settlement and the number of
+        earlier attempts.
     """
 
     __slots__ = (
@@ -46,7 +47,7 @@
         '_pending',
         '_withdrawn',
         '_number',
-        '_added',
+        '_settlement_added',
         '_worker',
     )
 
@@ -62,8 +63,8 @@
             collections.OrderedDict()
         )
         self._number = 0
-        self._added = event.Event()
-        self._worker = gevent.spawn(self._work)
+        self._settlement_added = event.Event()
+        self._worker = gevent.spawn(self._run_worker)
 
     def add(
         self,
@@ -72,7 +73,7 @@
         state: claim_messages.ClaimState,
     ) -> None:
         """Deliver a settlement until it is acknowledged."""
-        self._number = (self._number + 1) % _NUMBERS
+        self._number = (self._number + 1) % _NUMBER_MODULUS
         settlement = claim_messages.ClaimSettlement(
             key_hash=key_hash,
             claim_id=claim_id,
@@ -80,64 +81,69 @@
             number=self._number,
         )
         self._pending[claim_id] = _Delivery(settlement)
-        while len(self._pending) > _MOST_KEPT:
-            # Lost: that claim will be told as unknown, which is true.
+        while len(self._pending) > _MAX_RETAINED:
+            # The oldest settlement is lost. Its claim will be reported as
+            # unknown, which is correct.
             self._pending.popitem(last=False)
-        self._added.set()
+        self._settlement_added.set()
 
     def withdraw(self, key_hash: bytes, claim_id: int) -> None:
-        """Settle a claim that was surely not run, and never will be."""
+        """Settle a claim whose request was not run and never will be."""
         self._withdrawn[claim_id] = None
-        while len(self._withdrawn) > _MOST_KEPT:
+        while len(self._withdrawn) > _MAX_RETAINED:
             self._withdrawn.popitem(last=False)
         self.add(key_hash, claim_id, claim_messages.ClaimState.NOT_RUN)
 
-    def withdraw_late(self, key_hash: bytes, claim_id: int) -> None:
-        """Withdraw again a claim that was entered after its withdrawal.
+    def withdraw_late_grant(self, key_hash: bytes, claim_id: int) -> None:
+        """Withdraw a claim again that was stored after its withdrawal.
 
-        Only claims known as withdrawn: any other one may have run.
+        Only claims that this instance withdrew are affected, because the
+        request of any other claim may have run.
         """
         if claim_id in self._withdrawn:
             self.add(key_hash, claim_id, claim_messages.ClaimState.NOT_RUN)
 
     def acknowledge(self, claim_id: int, number: int) -> None:
-        """Stop delivering a settlement: it is written.
+        """Stop delivering a settlement, because it is stored.
 
-        The number tells it from an earlier withdrawal of the same claim,
-        which may have been kept before the claim was entered.
+        The number distinguishes it from an earlier withdrawal of the same
+        claim, which may have been acknowledged before the claim was stored.
         """
         delivery = self._pending.get(claim_id)
         if delivery is not None and delivery.settlement.number == number:
             del self._pending[claim_id]
 
     def drain(self, seconds: float) -> bool:
-        """Wait until nothing is pending; False: not within this time."""
-        ends = time.monotonic() + seconds
-        while self._pending and time.monotonic() < ends:
-            gevent.sleep(_TICK_SECONDS / 2)
+        """Wait for all settlements; return False if any is still pending.
+
+        The wait takes at most `seconds`.
+        """
+        drain_until = time.monotonic() + seconds
+        while self._pending and time.monotonic() < drain_until:
+            gevent.sleep(_POLL_SECONDS / 2)
         return not self._pending
 
     def close(self) -> None:
-        """Stop delivering."""
+        """Stop the delivery of settlements."""
         self._worker.kill()
 
-    def _work(self) -> None:
+    def _run_worker(self) -> None:
         while True:
-            self._added.wait()
-            self._added.clear()
+            self._settlement_added.wait()
+            self._settlement_added.clear()
             while self._pending:
                 self._deliver_due()
-                gevent.sleep(_TICK_SECONDS)
+                gevent.sleep(_POLL_SECONDS)
 
     def _deliver_due(self) -> None:
         now = time.monotonic()
         for delivery in list(self._pending.values()):
-            if delivery.due <= now:
+            if delivery.due_at <= now:
                 self._deliver(delivery.settlement, delivery.attempts)
-                delivery.due = now + _choose_wait(delivery.attempts)
+                delivery.due_at = now + _choose_retry_delay(delivery.attempts)
                 delivery.attempts += 1
 
 
-def _choose_wait(attempts: int) -> float:
-    longest = _LEAST_RETRY_SECONDS * 2 ** min(attempts, 10)
-    return min(longest, _MOST_RETRY_SECONDS) * random.uniform(0.5, 1.0)
+def _choose_retry_delay(attempts: int) -> float:
+    ceiling = _INITIAL_RETRY_SECONDS * 2 ** min(attempts, 10)
+    return min(ceiling, _MAX_RETRY_SECONDS) * random.uniform(0.5, 1.0)
--- a/src/amaranthslip/requests/claims.py
+++ b/src/amaranthslip/requests/claims.py
@@ -1,8 +1,8 @@
-"""Claims: a non-idempotent request runs at most once under its key.
+"""Claims of idempotency keys: a non-idempotent request runs at most once.
 
-Before such a request is sent, its idempotency key is claimed in the
-key-value service, where the claim outlives every instance. See
-docs/design/claims.md for why this holds and for how long.
+The idempotency key of such a request is claimed in the key-value service
+before the request is sent, so that the claim outlives all instances.
+docs/design/claims.md explains why and for how long the guarantee holds.
 """
 
 import functools
@@ -32,7 +32,7 @@
 
 
 class Claim:
-    """The right to send one request to a backend server, once."""
+    """Permission to send one request to a backend server once."""
 
     __slots__ = ('key_hash', 'claim_id', '_settle', '_settled')
 
@@ -48,14 +48,15 @@
         self._settled = False
 
     def settle(self, state: ClaimState) -> None:
-        """Tell how the request ended; the first call counts.
+        """Record how the request ended; only the first call has an effect.
 
         Parameters
         ----------
         state : ClaimState
-            DONE where the answer is known; NOT_RUN only where no byte of
-            the request left for a backend server. A claim whose request may
-            have run is never settled, and is told as unknown.
+            DONE if the answer is known; NOT_RUN only if no byte of the
+            request was sent to a backend server. A claim whose request may
+            have run gets neither state, and is reported as unknown once it
+            is no longer considered to be in progress.
         """
         if not self._settled:
             self._settled = True
@@ -63,25 +64,25 @@
 
 
 class Claims:
-    """Claims idempotency keys, and collects claims for other instances.
+    """Claims idempotency keys, and collects claims from other instances.
 
     Parameters
     ----------
     settings_ : Settings
         `claims` and `platform` are used.
     key_value : object
-        With `get` and `swap` as `platform.keyvalue.KeyValue` has them.
+        Has the methods `get` and `swap` of `platform.keyvalue.KeyValue`.
     roster : object
-        With `live()`, the members whose `name` may collect, and
-        `generation`, which changes with them.
+        Has `live()`, which returns the members that can be collectors, and
+        `generation`, which changes whenever these members change.
     outbox : object
-        With `send(instance_name, message) -> bool`.
+        Has `send(instance_name, message) -> bool`.
     metrics_ : Metrics
         Counts results under `claims`.
     name : str
-        This instance's name.
+        The name of this instance.
     clock : callable
-        Seconds since the epoch.
+        Returns seconds since the epoch.
 
     Examples
     --------
@@ -98,9 +99,9 @@
         '_clock',
         '_owner',
         '_collectors',
-        '_ranked_at',
+        '_collectors_generation',
         '_groups',
-        '_waiting',
+        '_pending_results',
         '_layout',
         '_settlements',
     )
@@ -125,11 +126,13 @@
         self._clock = clock
         self._owner = identity.identify(name)
         self._collectors: dict[int, str] = {}
-        self._ranked_at: object = None
+        self._collectors_generation: object = None
         self._groups: dict[int, claim_groups.ClaimGroup] = {}
-        self._waiting: dict[int, event.AsyncResult] = {}
+        self._pending_results: dict[int, event.AsyncResult] = {}
         self._layout = claim_layout.Layout(settings_, key_value)
-        self._settlements = claim_settlements.Settlements(self._deliver)
+        self._settlements = claim_settlements.Settlements(
+            self._deliver_settlement
+        )
 
     def __enter__(self) -> 'Claims':
         return self
@@ -138,39 +141,45 @@
         self.close()
 
     def drain(self, seconds: float) -> bool:
-        """Wait until all settlements are kept; False: not in this time."""
+        """Wait for all settlements; return False if any is still pending.
+
+        The wait takes at most `seconds`.
+        """
         return self._settlements.drain(seconds)
 
     def close(self) -> None:
-        """End the greenlets; settlements not kept by then are lost."""
+        """Stop the greenlets; settlements that are still pending are lost."""
         self._settlements.close()
         for group in self._groups.values():
             group.close()
 
     def claim(self, client_account: str, key: str, fingerprint: int) -> Claim:
-        """Claim a key, blocking; what returns may be sent, once.
+        """Claim a key, and return a claim whose request may be sent once.
+
+        Blocks until the claim is stored or refused.
 
         Parameters
         ----------
         client_account : str
-            Keys of different client accounts never meet.
+            Equal keys of different client accounts are independent.
         key : str
-            The caller's `Idempotency-Key`.
+            The caller's `Idempotency-Key` header.
         fingerprint : int
             `claim_keys.fingerprint` of the request.
 
         Raises
         ------
         RequestRefused
-            Not run: `claims_unavailable`, `claims_full`, `key_reused` or
-            `key_from_future`.
+            The request was not run: `claims_unavailable`, `claims_full`,
+            `key_reused` or `key_from_future`.
         RequestRepeated
-            The key came before: `in_progress` or `already_done`.
+            The key was used before: `in_progress` or `already_done`.
         OutcomeUnknown
-            The key came before and nobody knows how it ended
-            (`claim_unknown`), or it is too old to tell (`key_too_old`).
+            The key was used before and the outcome of its request is not
+            known (`claim_unknown`), or the key is older than the retention
+            of claims (`key_too_old`).
         """
-        self._check_age(key)
+        self._check_key_age(key)
         self._check_layout()
         request = claim_messages.ClaimRequest(
             key_hash=claim_keys.hash_key(client_account, key),
@@ -178,40 +187,42 @@
             fingerprint=fingerprint,
         )
         try:
-            result = self._request(request)
+            result = self._obtain_result(request)
         except BaseException:
-            # The caller left while it waited: its request never runs.
+            # The caller left while it waited, so its request never runs.
             self._settlements.withdraw(request.key_hash, request.claim_id)
             raise
         self._metrics.count('claims', result.name.lower())
         if result == _Result.GRANTED:
             return Claim(request.key_hash, request.claim_id, self._settle)
         if result == _Result.UNAVAILABLE:
-            # It may be left behind all the same: by a swap whose answer was
-            # lost, or by a collector that wakes later. It never runs.
+            # The claim may still be stored by a swap whose answer was lost,
+            # or by a collector that was paused. Its request never runs, so
+            # the claim is withdrawn.
             self._settlements.withdraw(request.key_hash, request.claim_id)
         raise claim_errors.build_error(result)
 
-    def _check_age(self, key: str) -> None:
+    def _check_key_age(self, key: str) -> None:
         created = claim_keys.read_key_time(key)
         if created is None:
             return
         age = self._clock() - created
-        if age < -claim_records.CLOCK_SECONDS:
+        if age < -claim_records.MAX_CLOCK_SKEW_SECONDS:
             self._metrics.count('claims', 'key_from_future')
             raise errors.RequestRefused(
                 'key_from_future',
-                f'not run: the Idempotency-Key was made {-age:.0f} s in the '
-                'future; set the clock that makes your keys',
+                'not run: the creation time of the Idempotency-Key is '
+                f'{-age:.0f} s in the future; correct the clock that '
+                'generates the keys',
                 status=400,
             )
         if age > self._settings.claims.window_seconds:
             self._metrics.count('claims', 'key_too_old')
             raise errors.OutcomeUnknown(
                 'key_too_old',
-                f'the Idempotency-Key was made {age:.0f} s ago, and claims '
+                f'the Idempotency-Key was created {age:.0f} s ago, and claims '
                 f'are kept for {self._settings.claims.window_seconds:g} s: '
-                'whether the request ran earlier cannot be told; look it up '
+                'it is not known whether the request ran earlier; look it up '
                 'at the service, then use a new key',
             )
 
@@ -223,16 +234,17 @@
             _LOG.error('claims_refused', extra={'error': str(error)})
             raise claim_errors.build_error(_Result.UNAVAILABLE) from None
 
-    def _request(
+    def _obtain_result(
         self, request: claim_messages.ClaimRequest
     ) -> claim_messages.ClaimResult:
         limit = self._settings.platform.timeout_seconds
         collector = self._find_collector(self._find_shard(request.key_hash))
         if collector != self._name:
-            # A collector that is dead, paused, cut off from here or from
-            # the service costs half a limit, then this instance writes
-            # itself. Both may write: the claim's id makes that harmless.
-            result = self._wait(
+            # If the collector has stopped, is paused, or cannot be reached or
+            # reach the service, this instance waits for half the time limit
+            # and then writes the claim itself. Both writes may take effect,
+            # which is safe because the claim has the same id in both.
+            result = self._await_result(
                 request,
                 limit / 2 + self._settings.claims.group_seconds,
                 lambda: self._outbox.send(collector, request),
@@ -240,32 +252,34 @@
             if result not in (None, _Result.UNAVAILABLE):
                 return result
             self._metrics.count('claims', 'collector_silent')
-        result = self._wait(
-            request, limit * 2, lambda: self._collect(self._name, request)
+        result = self._await_result(
+            request,
+            limit * 2,
+            lambda: self._collect_claim(self._name, request),
         )
         return _Result.UNAVAILABLE if result is None else result
 
-    def _wait(
+    def _await_result(
         self,
         request: claim_messages.ClaimRequest,
         seconds: float,
-        ask: typing.Callable[[], bool],
+        send: typing.Callable[[], bool],
     ) -> claim_messages.ClaimResult | None:
-        waiting = event.AsyncResult()
-        self._waiting[request.claim_id] = waiting
+        result = event.AsyncResult()
+        self._pending_results[request.claim_id] = result
         try:
-            if not ask():
+            if not send():
                 return None
-            return waiting.wait(timeout=seconds)
+            return result.wait(timeout=seconds)
         finally:
-            del self._waiting[request.claim_id]
+            del self._pending_results[request.claim_id]
 
     def _find_shard(self, key_hash: bytes) -> int:
         return int.from_bytes(key_hash) % self._settings.claims.shards
 
     def _find_collector(self, shard: int) -> str:
-        if self._ranked_at != self._roster.generation:
-            self._ranked_at = self._roster.generation
+        if self._collectors_generation != self._roster.generation:
+            self._collectors_generation = self._roster.generation
             self._collectors.clear()
         if shard not in self._collectors:
             names = [member.name for member in self._roster.live()]
@@ -295,10 +309,10 @@
         )
 
     def receive(self, sender: str, message: object) -> None:
-        """Take a message of `requests.claim_messages` from a peer."""
-        _receive(message, self, sender)
+        """Handle one message of `requests.claim_messages` from a peer."""
+        _handle_message(message, self, sender)
 
-    def _collect(
+    def _collect_claim(
         self, sender: str, request: claim_messages.ClaimRequest
     ) -> bool:
         limit = self._settings.platform.timeout_seconds
@@ -306,12 +320,12 @@
             request,
             owner=identity.identify(sender),
             deadline=time.monotonic() + limit * 2,
-            reply=functools.partial(self._reply, sender, request),
+            reply=functools.partial(self._reply_to_claim, sender, request),
         )
         self._find_group(self._find_shard(request.key_hash)).add_claim(pending)
         return True
 
-    def _reply(
+    def _reply_to_claim(
         self,
         sender: str,
         request: claim_messages.ClaimRequest,
@@ -323,21 +337,23 @@
             result=result,
         )
         if sender == self._name:
-            self.take_answer(answer)
+            self.handle_answer(answer)
         else:
             self._outbox.send(sender, answer)
 
-    def take_answer(self, answer: claim_messages.ClaimAnswer) -> None:
-        """Hand an answer to the greenlet that waits for it.
+    def handle_answer(self, answer: claim_messages.ClaimAnswer) -> None:
+        """Pass an answer to the greenlet that waits for it.
 
-        A grant that comes after its caller was refused is withdrawn, as
-        nobody will run it.
+        A grant that arrives after its caller was refused is withdrawn, because
+        its request will never run.
         """
-        waiting = self._waiting.get(answer.claim_id)
-        if waiting is not None:
-            waiting.set(_Result(answer.result))
+        result = self._pending_results.get(answer.claim_id)
+        if result is not None:
+            result.set(_Result(answer.result))
         elif answer.result == _Result.GRANTED:
-            self._settlements.withdraw_late(answer.key_hash, answer.claim_id)
+            self._settlements.withdraw_late_grant(
+                answer.key_hash, answer.claim_id
+            )
 
     def _settle(self, claim: Claim, state: ClaimState) -> None:
         if state == ClaimState.NOT_RUN:
@@ -345,12 +361,12 @@
         else:
             self._settlements.add(claim.key_hash, claim.claim_id, state)
 
-    def _deliver(
+    def _deliver_settlement(
         self, settlement: claim_messages.ClaimSettlement, attempt: int
     ) -> None:
         shard = self._find_shard(settlement.key_hash)
         collector = self._find_collector(shard)
-        # Every second attempt goes past the collector, which may be silent.
+        # Every second attempt bypasses the collector, which may not respond.
         if attempt % 2 or collector == self._name:
             self._collect_settlement(self._name, settlement)
         else:
@@ -363,14 +379,16 @@
         pending = claim_groups.PendingSettlement(
             settlement,
             deadline=time.monotonic()
-            + claim_groups.SETTLE_SECONDS
+            + claim_groups.SETTLEMENT_DELAY_SECONDS
             + limit * 2,
-            reply=functools.partial(self._reply_settled, sender, settlement),
+            reply=functools.partial(
+                self._acknowledge_settlement, sender, settlement
+            ),
         )
         shard = self._find_shard(settlement.key_hash)
         self._find_group(shard).add_settlement(pending)
 
-    def _reply_settled(
+    def _acknowledge_settlement(
         self, sender: str, settlement: claim_messages.ClaimSettlement
     ) -> None:
         claim_id, number = settlement.claim_id, settlement.number
@@ -384,32 +402,32 @@
 
 
 @functools.singledispatch
-def _receive(message: object, claims: Claims, sender: str) -> None:
-    raise TypeError(f'{type(message).__name__} is no message about claims')
+def _handle_message(message: object, claims: Claims, sender: str) -> None:
+    raise TypeError(f'{type(message).__name__} is not a claim message')
 
 
-@_receive.register
+@_handle_message.register
 def _(
     message: claim_messages.ClaimRequest, claims: Claims, sender: str
 ) -> None:
-    claims._collect(sender, message)
+    claims._collect_claim(sender, message)
 
 
-@_receive.register
+@_handle_message.register
 def _(
     message: claim_messages.ClaimAnswer, claims: Claims, sender: str
 ) -> None:
-    claims.take_answer(message)
+    claims.handle_answer(message)
 
 
-@_receive.register
+@_handle_message.register
 def _(
     message: claim_messages.ClaimSettlement, claims: Claims, sender: str
 ) -> None:
     claims._collect_settlement(sender, message)
 
 
-@_receive.register
+@_handle_message.register
 def _(
     message: claim_messages.ClaimSettled, claims: Claims, sender: str
 ) -> None:
--- a/src/amaranthslip/requests/crash_exchange.py
+++ b/src/amaranthslip/requests/crash_exchange.py
@@ -11,15 +11,16 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Latest reports that are sent to a peer on a new connection.
-_MOST_GREETING_REPORTS = 256
+# Largest number of reports sent to a peer on a new connection; the latest are
+# sent.
+_MAX_INITIAL_REPORTS = 256
 
 
 class Outbox(typing.Protocol):
     """Sends messages to named members; `links.Links` is one."""
 
     def send(self, name: str, message: object) -> bool:
-        """Queue a message; False where that can't be done."""
+        """Queue a message; return False if it cannot be queued."""
 
 
 class QuarantineStore(typing.Protocol):
@@ -37,7 +38,7 @@
         fingerprint: bytes,
         crashes: typing.Sequence[quarantine_module.Crash],
     ) -> None:
-        """Extend the entry of a repeated request, whoever stored it."""
+        """Extend the entry of a repeated request, at any instance."""
 
     def remove(self, fingerprint: bytes) -> None:
         """Remove a request's entry asynchronously."""
@@ -53,7 +54,7 @@
     Parameters
     ----------
     roster : Roster
-        Lists the live members.
+        Lists the live members that receive the reports.
     outbox : Outbox
         Sends the messages.
     quarantine : Quarantine
@@ -93,14 +94,15 @@
             return
         self._quarantine.note_repeat(fingerprint)
         self._store.renew(fingerprint, crashes)
-        keep = quarantine_module.KEEP_SECONDS
+        keep_seconds = quarantine_module.KEEP_SECONDS
         raise errors.RequestRefused(
             'crashes_servers',
             f'the backend servers {_list_servers(crashes)} crashed while they'
-            ' ran this request; it is not run again until it has not come for'
-            f' {keep:g} s; change it, or report its id to the operators',
+            ' ran this request; it is refused until it has not been sent for'
+            f' {keep_seconds:g} s; change it, or report its id to the'
+            ' operators',
             status=429,
-            retry_after=keep,
+            retry_after=keep_seconds,
         )
 
     def is_quarantined(self, fingerprint: bytes) -> bool:
@@ -140,7 +142,7 @@
     def greet(self, name: str) -> list[object]:
         """Return the messages to send first on a new connection to a peer."""
         crashes = self._quarantine.list_all_crashes()
-        latest = crashes[-_MOST_GREETING_REPORTS:]
+        latest = crashes[-_MAX_INITIAL_REPORTS:]
         return [self._build_reports(latest)] if latest else []
 
     def receive(self, sender: str, message: object) -> None:
@@ -154,22 +156,22 @@
     @_handle.register
     def _(self, message: crash_messages.CrashReports, sender: str) -> None:
         now = self._quarantine.read_clock()
-        for each in message.reports:
-            if self._quarantine.has_completed(each.fingerprint):
+        for report in message.reports:
+            if self._quarantine.has_completed(report.fingerprint):
                 # Sent to all members: any of them may have counted the crash.
                 self._broadcast(
                     crash_messages.RequestCompleted(
-                        fingerprint=each.fingerprint
+                        fingerprint=report.fingerprint
                     )
                 )
                 continue
             crash = quarantine_module.Crash(
-                each.server,
-                each.incarnation,
-                last_event=each.last_event,
-                crashed_at=now - each.age_ms / 1000,
+                report.server,
+                report.incarnation,
+                last_event=report.last_event,
+                crashed_at=now - report.age_ms / 1000,
             )
-            self._note_crash(each.fingerprint, crash)
+            self._note_crash(report.fingerprint, crash)
 
     @_handle.register
     def _(self, message: crash_messages.RequestCompleted, sender: str) -> None:
@@ -224,4 +226,4 @@
 
 
 def _list_servers(crashes: typing.Sequence[quarantine_module.Crash]) -> str:
-    return ', '.join(each.server for each in crashes)
+    return ', '.join(crash.server for crash in crashes)
--- a/src/amaranthslip/requests/crash_messages.py
+++ b/src/amaranthslip/requests/crash_messages.py
@@ -1,4 +1,4 @@
-"""Messages between instances about requests that crash servers."""
+"""Messages between instances about requests that crash backend servers."""
 
 import typing
 
@@ -35,7 +35,7 @@
 
 
 class CrashReports:
-    """New crashes, or on a new connection the latest known to the sender."""
+    """New crashes, or the sender's latest crashes on a new connection."""
 
     __slots__ = ('reports',)
 
--- a/src/amaranthslip/requests/fingerprints.py
+++ b/src/amaranthslip/requests/fingerprints.py
@@ -1,4 +1,4 @@
-"""Fingerprints: digests that identify a request across its attempts."""
+"""Digests that identify a request across its attempts."""
 
 import hashlib
 
@@ -8,7 +8,7 @@
 def compute_fingerprint(
     *, client_account: str, method: str, host: str, target: str, body: bytes
 ) -> bytes:
-    """Return a digest that is the same for all attempts at a request.
+    """Return a digest that is equal for all attempts at a request.
 
     The hash is cryptographic, so that no client account can construct a
     request with the fingerprint of another account's request.
--- a/src/amaranthslip/requests/outcomes.py
+++ b/src/amaranthslip/requests/outcomes.py
@@ -1,17 +1,18 @@
-"""Outcomes: how one try of a request at a backend server ended."""
+"""Outcomes of a single try of a request at a backend server."""
 
 import enum
 
 
 class Outcome(enum.IntEnum):
-    """How a try ended, as the dispatcher that granted it is told."""
+    """How a try ended, as reported to the dispatcher that granted its slot."""
 
     DONE = 0
-    # The backend server's fault: no connection, a 5xx answer, a timeout.
+    # The backend server failed: no connection, a 5xx answer, or a timeout.
     FAILED = 1
-    # The caller left, or the answer was the caller's own fault (4xx).
+    # The caller disconnected, or sent an invalid request (4xx answer).
     CANCELLED = 2
-    # The try was never sent; the slot returns unused.
+    # The try was not sent, and its slot is released unused.
     UNUSED = 3
-    # The request goes on; another dispatcher counts its slot from now on.
+    # The request continues, but another dispatcher accounts for its slot from
+    # now on.
     MOVED = 4
--- a/src/amaranthslip/requests/prompts.py
+++ b/src/amaranthslip/requests/prompts.py
@@ -1,10 +1,10 @@
-"""Prompts: what a model's request has to read, and what of it is shared."""
+"""Prompts of model requests: their sizes and their shared prefixes."""
 
 import typing
 
 
 class Part:
-    """One piece of a prompt, known by an id, with its length in tokens."""
+    """A part of a prompt, identified by an id, with its length in tokens."""
 
     __slots__ = ('id', 'tokens')
 
@@ -14,21 +14,21 @@
 
 
 class Prompt:
-    """A model's request, by size.
+    """The prompt of a model request, described by the sizes of its parts.
 
     Parameters
     ----------
     model : str
-        Which model answers it.
+        Name of the model that answers the request.
     parts : sequence of Part
-        The prompt's pieces in order. Other requests may begin with the same
-        ones; the last is the request's own, or its session's.
+        The parts of the prompt in order. Other requests may start with the
+        same parts. The last part belongs to this request or to its session.
     prompt_tokens : int
-        The whole prompt.
+        Tokens of the whole prompt.
     most_tokens : int
-        The most that may be generated.
+        Largest number of tokens that may be generated.
     hinted_tokens : int or None
-        What the caller expects to be generated; often far off.
+        Number of generated tokens that the caller expects; often inaccurate.
     """
 
     __slots__ = (
@@ -37,7 +37,7 @@
         'prompt_tokens',
         'most_tokens',
         'hinted_tokens',
-        '_chain',
+        '_prefix_keys',
     )
 
     def __init__(
@@ -54,35 +54,36 @@
         self.prompt_tokens = prompt_tokens
         self.most_tokens = most_tokens
         self.hinted_tokens = hinted_tokens
-        self._chain: tuple[str, ...] | None = None
+        self._prefix_keys: tuple[str, ...] | None = None
 
     @property
     def expected_tokens(self) -> int:
-        """How many tokens will likely be generated."""
+        """The expected number of generated tokens."""
         if self.hinted_tokens is None:
             return self.most_tokens
         return min(self.hinted_tokens, self.most_tokens)
 
     @property
     def own_tokens(self) -> int:
-        """Tokens of the last part, which no other request brought along."""
+        """Tokens of the last part, which no other request has sent."""
         return self.parts[-1].tokens if self.parts else self.prompt_tokens
 
     @property
     def chain(self) -> tuple[str, ...]:
-        """One key a part, which stands for it and all parts before it.
+        """One key for each part, which identifies the prefix that it ends.
 
-        An engine can use a cached part only if it has all before it.
+        The key covers the part and all parts before it, because an engine can
+        use a cached part only if it has cached all parts before it.
         """
-        if self._chain is None:
+        if self._prefix_keys is None:
             keys, key = [], self.model
             for part in self.parts:
                 key = f'{key}/{part.id}'
                 keys.append(key)
-            self._chain = tuple(keys)
-        return self._chain
+            self._prefix_keys = tuple(keys)
+        return self._prefix_keys
 
     @property
     def shared_key(self) -> str:
-        """The key of the deepest part that other requests share, or ''."""
+        """The key of the longest prefix that can be shared, or ''."""
         return self.chain[-2] if len(self.parts) > 1 else ''
--- a/src/amaranthslip/requests/quarantine.py
+++ b/src/amaranthslip/requests/quarantine.py
@@ -4,22 +4,23 @@
 import time
 import typing
 
-# Distinct crashes after which a request is refused. A crash does not show its
-# cause: it interrupts all requests that the server runs.
-MOST_CRASHES = 3
+# Distinct crashes after which a request is refused. One crash does not
+# identify the request that caused it, because it interrupts all requests that
+# the server runs.
+CRASH_LIMIT = 3
 # Seconds for which a record is kept after the last crash or refused attempt.
-# Repeated attempts extend it without limit: a trial run could crash another
-# server.
+# Repeated attempts extend the retention without limit, because running the
+# request again as a test could crash another server.
 KEEP_SECONDS = 600.0
 # Seconds after a completion during which crashes are not counted. Otherwise,
 # servers that fail together could quarantine a request that many callers send.
-_COMPLETED_SECONDS = 60.0
+_COMPLETION_RETENTION_SECONDS = 60.0
 # Reports for a server without an incarnation that are fewer seconds apart than
 # this refer to the same crash.
 _SAME_CRASH_SECONDS = 1.0
 # Limits on the records and completions in memory, at 0.5 and 0.2 KB each.
-_MOST_RECORDS = 1024
-_MOST_COMPLETED = 4096
+_MAX_RECORDS = 1024
+_MAX_COMPLETIONS = 4096
 
 
 class Crash:
@@ -30,9 +31,9 @@
     server : str
         Name of the server.
     incarnation : int
-        Incarnation of the server; 0: none.
+        Incarnation of the server, or 0 if it has none.
     last_event : int
-        Id of the last stream event that the caller has; 0: none.
+        Id of the last stream event that the caller has received, or 0.
     crashed_at : float
         Monotonic time of the crash.
     """
@@ -75,7 +76,7 @@
     @property
     def last_event(self) -> int:
         """The last event that any crashed run of the request reached."""
-        return max((each.last_event for each in self.crashes), default=0)
+        return max((crash.last_event for crash in self.crashes), default=0)
 
 
 class Quarantine:
@@ -97,7 +98,7 @@
         self, *, clock: typing.Callable[[], float] = time.monotonic
     ) -> None:
         self._clock = clock
-        # Both by fingerprint, in order of the last update.
+        # Both are keyed by fingerprint, in order of the last update.
         self._records: collections.OrderedDict[bytes, _Record] = (
             collections.OrderedDict()
         )
@@ -111,8 +112,11 @@
 
     def has_completed(self, fingerprint: bytes) -> bool:
         """Return whether a request has completed recently."""
-        at = self._completed.get(fingerprint)
-        return at is not None and self._clock() - at < _COMPLETED_SECONDS
+        completed_at = self._completed.get(fingerprint)
+        return (
+            completed_at is not None
+            and self._clock() - completed_at < _COMPLETION_RETENTION_SECONDS
+        )
 
     def note_completion(self, fingerprint: bytes) -> bool:
         """Record that a request completed, and discard its crashes.
@@ -124,7 +128,7 @@
         """
         self._completed[fingerprint] = self._clock()
         self._completed.move_to_end(fingerprint)
-        while len(self._completed) > _MOST_COMPLETED:
+        while len(self._completed) > _MAX_COMPLETIONS:
             self._completed.popitem(last=False)
         return self.release(fingerprint)
 
@@ -144,20 +148,20 @@
         if self.has_completed(fingerprint):
             return False
         record = self._find_record(fingerprint) or _Record()
-        if any(each.is_same(crash) for each in record.crashes):
+        if any(known.is_same(crash) for known in record.crashes):
             return False
         if crash.last_event > record.last_event:
             record.crashes.clear()
         record.crashes.append(crash)
         # Concurrent attempts can add further crashes; the latest are kept.
-        del record.crashes[:-MOST_CRASHES]
+        del record.crashes[:-CRASH_LIMIT]
         self._store_record(fingerprint, record)
         return True
 
     def list_quarantine_crashes(self, fingerprint: bytes) -> tuple[Crash, ...]:
         """Return the crashes of a quarantined request, else an empty tuple."""
         record = self._find_record(fingerprint)
-        if record is None or len(record.crashes) < MOST_CRASHES:
+        if record is None or len(record.crashes) < CRASH_LIMIT:
             return ()
         return tuple(record.crashes)
 
@@ -182,7 +186,7 @@
         return [
             fingerprint
             for fingerprint, record in self._records.items()
-            if len(record.crashes) >= MOST_CRASHES
+            if len(record.crashes) >= CRASH_LIMIT
         ]
 
     def _find_record(self, fingerprint: bytes) -> _Record | None:
@@ -193,16 +197,16 @@
         record.updated_at = self._clock()
         self._records[fingerprint] = record
         self._records.move_to_end(fingerprint)
-        if len(self._records) > _MOST_RECORDS:
+        if len(self._records) > _MAX_RECORDS:
             del self._records[self._choose_evicted()]
 
     def _choose_evicted(self) -> bytes:
-        """Return the oldest record, preferring those not quarantined."""
+        """Return the oldest request, preferring those not quarantined."""
         return next(
             (
                 fingerprint
                 for fingerprint, record in self._records.items()
-                if len(record.crashes) < MOST_CRASHES
+                if len(record.crashes) < CRASH_LIMIT
             ),
             next(iter(self._records)),
         )
--- a/src/amaranthslip/requests/retries.py
+++ b/src/amaranthslip/requests/retries.py
@@ -1,4 +1,4 @@
-"""Retries: how many, how long after, and how each is counted."""
+"""Limits, delays and counters of retries."""
 
 import random as random_
 import time
@@ -7,24 +7,32 @@
 from amaranthslip import metrics as metrics_
 from amaranthslip import settings as settings_
 
-# Retries that a client account may make without requests before them, so
-# that one with little traffic can survive the loss of a server.
-_BURST = 10.0
-# Seconds: the first wait's mean, and the mean that waits grow to.
-_FIRST_WAIT = 0.05
-_LONGEST_WAIT = 2.0
+# Capacity of an account's token bucket: the number of retries that a client
+# account can make without earlier requests. It lets an account with little
+# traffic tolerate the failure of a backend server.
+_BUCKET_CAPACITY = 10.0
+# Mean wait in seconds before the first retry, and the limit of the mean wait.
+_INITIAL_MEAN_WAIT_SECONDS = 0.05
+_MAX_MEAN_WAIT_SECONDS = 2.0
 
 
 class RetryBudget:
     """A token bucket of retries for each client account.
 
-    Each request adds `backends.retry_ratio` of a retry, each retry takes
-    one. Without it, a fleet whose servers fail under load would multiply
-    that load by its retries and never recover; with a budget for each
-    account, one account's failing requests use up nobody else's retries.
+    Each request adds `backends.retry_ratio` of a retry, and each retry
+    consumes one. Without a budget, the retries would multiply the load on
+    servers that fail under load, and the fleet would never recover. With a
+    separate budget for each account, the failing requests of one account do
+    not consume the retries of other accounts.
     """
 
-    __slots__ = ('_settings', '_metrics', '_random', '_clock', '_spent')
+    __slots__ = (
+        '_settings',
+        '_metrics',
+        '_random',
+        '_clock',
+        '_missing_retries',
+    )
 
     def __init__(
         self,
@@ -38,20 +46,20 @@
         self._metrics = metrics
         self._random = random or random_.Random()
         self._clock = clock
-        # What is missing from each bucket; full buckets are not held, so
-        # the table is as long as the accounts that retried lately.
-        self._spent: dict[str, float] = {}
+        # Retries missing from each bucket. Full buckets are not stored, so the
+        # table contains only accounts that made retries recently.
+        self._missing_retries: dict[str, float] = {}
 
     def note_request(self, client_account: str) -> None:
-        """Count a first try, which adds a part of a retry."""
-        spent = self._spent.get(client_account)
-        if spent is None:
+        """Count a new request, which adds a fraction of a retry."""
+        missing = self._missing_retries.get(client_account)
+        if missing is None:
             return
-        spent -= self._settings.backends.retry_ratio
-        if spent <= 0:
-            del self._spent[client_account]
+        missing -= self._settings.backends.retry_ratio
+        if missing <= 0:
+            del self._missing_retries[client_account]
         else:
-            self._spent[client_account] = spent
+            self._missing_retries[client_account] = missing
 
     def take(
         self,
@@ -61,39 +69,42 @@
         tries: int,
         deadline: float,
     ) -> float | None:
-        """Take one retry and return the seconds to wait before it.
+        """Consume one retry, and return the seconds to wait before it.
 
         Parameters
         ----------
         client_account : str
-            Whose budget pays.
+            The account whose budget is used.
         reason : str
-            Why the last try failed; the counters' label.
+            Why the last try failed; used as the label of the counter.
         tries : int
-            Tries made so far, at least one.
+            Number of tries so far, at least one.
         deadline : float
-            Of the request, on the injected clock.
+            Deadline of the request, in seconds of `clock`.
 
         Returns
         -------
         float or None
-            None where the budget is spent or the wait would end after the
-            deadline; the request then gets its final answer at once.
+            None if the budget is exhausted or the wait would end at or after
+            the deadline. The request then gets its final answer immediately.
         """
         wait = self._draw_wait(tries)
         if self._clock() + wait >= deadline:
             self._metrics.count('retries_denied', 'deadline')
             return None
-        spent = self._spent.get(client_account, 0.0) + 1.0
-        if spent > _BURST:
+        missing = self._missing_retries.get(client_account, 0.0) + 1.0
+        if missing > _BUCKET_CAPACITY:
             self._metrics.count('retries_denied', 'budget')
             return None
-        self._spent[client_account] = spent
+        self._missing_retries[client_account] = missing
         self._metrics.count('retries', reason)
         return wait
 
     def _draw_wait(self, tries: int) -> float:
-        # Spread over the whole of twice the mean: callers that failed
-        # together must not come back together.
-        mean = min(_FIRST_WAIT * 2.0 ** (tries - 1), _LONGEST_WAIT)
+        # The wait is drawn from the range between zero and twice the mean, so
+        # that requests that failed together are not retried together.
+        mean = min(
+            _INITIAL_MEAN_WAIT_SECONDS * 2.0 ** (tries - 1),
+            _MAX_MEAN_WAIT_SECONDS,
+        )
         return self._random.uniform(0.0, 2.0 * mean)
--- a/src/amaranthslip/requests/tickets.py
+++ b/src/amaranthslip/requests/tickets.py
@@ -1,26 +1,27 @@
-"""Tickets: what the dispatch decision needs to know of a request."""
+"""Tickets: the properties of a request that dispatching depends on."""
 
 import time
 import typing
 
 
 class Ticket:
-    """One request that waits for a slot at a backend server.
+    """A request that waits for a slot at a backend server.
 
     Parameters
     ----------
     request_id : str
-        The id that logs and answers carry.
+        The id of the request in logs and answers.
     service, client_account, kind : str
-        Names out of the configuration document.
+        Names in the configuration document.
     estimate : float
-        Expected cost in tokens; corrected while the request runs.
+        Expected cost in tokens, which is corrected while the request runs.
     deadline : float
-        `time.monotonic()` seconds after which the caller has no use for it.
+        Time after which the answer is of no use to the caller, in seconds of
+        `time.monotonic()`.
     prefix_hashes : sequence of int
-        Hashes of the prompt's growing prefixes, shortest first.
+        Hashes of the prefixes of the prompt, shortest first.
     excluded : set of str
-        Backend servers that failed this request before.
+        Backend servers at which earlier tries of this request failed.
     """
 
     __slots__ = (
--- a/tests/features/steps/claims.py
+++ b/tests/features/steps/claims.py
@@ -364,12 +364,12 @@
     _start_fleet(context, 1)
     now = context.fleet.clock()
     shard = claim_records.Shard(0)
-    for number in range(claim_records.MOST_RECORDS):
+    for number in range(claim_records.MAX_RECORDS):
         record = claim_records.Record(
             key_hash=claim_keys.hash_key(_ACCOUNT, f'old-{number}'),
             claim_id=number + 1,
             fingerprint=_BODY,
-            seconds=int(now),
+            claimed_at=int(now),
             owner=1,
             state=claim_messages.ClaimState.DONE,
         )
