--- a/tests/features/crashes.feature
+++ b/tests/features/crashes.feature
@@ -1,4 +1,4 @@
-Feature: Backend servers that crash during requests
+Feature: Backend servers that crash while they run requests
 
   Scenario Outline: A server crash is distinguished from a broken connection
     # Guards against reporting a crash when a running server closes a connection.
@@ -24,8 +24,8 @@
     Then it is answered 502
     And each failed try is logged with server crashed: no
 
-  Scenario: A crash on a kept connection is detected after a refused resend
-    # Guards against missing a crash because the last failure is a refused connection.
+  Scenario: A crash on a reused connection is detected if the resend is refused
+    # Guards against missing a crash if the resend fails with a refused connection.
     Given an instance on the platform with two servers of each service
     And the instance's log is captured
     When 6 requests for "/open/x" come one after the other
@@ -36,7 +36,7 @@
     And each failed try is logged with server crashed: yes
 
   Scenario: All attempts at a request have the same fingerprint
-    # Guards against logs that cannot relate attempts or that merge requests.
+    # Guards against logs that cannot group attempts or that mix up requests.
     Given an instance on the platform with two servers of each service
     And the instance's log is captured
     Then these requests match the fingerprint of the first as listed
@@ -47,7 +47,7 @@
       | /read/y  | key-a | one  | no   |
       | /chat/x  | key-a | one  | no   |
 
-  Scenario Outline: A request that crashed three servers reaches no other
+  Scenario Outline: A request that crashed three servers is not sent to another
     # Guards against one request crashing server after server, at any instance.
     Given 3 instances in front of 12 engines
     And the engines crash under the request "poison"
@@ -68,7 +68,7 @@
     And 3 engines have crashed
     And each instance serves "other" for "/once/x"
 
-  Scenario: Instances refuse a quarantined request after all were restarted
+  Scenario: A quarantined request is still refused after all instances restart
     # Guards against losing the quarantine when all instances restart.
     Given 3 instances in front of 6 engines
     And the engines crash under the request "poison"
@@ -77,7 +77,7 @@
     Then each instance refuses "poison" for "/once/x" as "crashes_servers"
     And 3 engines have crashed
 
-  Scenario: An operator can release a request
+  Scenario: An operator can release a quarantined request
     # Guards against refusing a request after the cause of the crashes is fixed.
     Given 3 instances in front of 6 engines
     And the engines crash under the request "poison"
@@ -95,7 +95,7 @@
 
   Scenario Outline: Configured services refuse a request that crashed three servers
     # Guards against unlimited crashes where servers do not register themselves.
-    Given an entry before six plain servers and six engines that crash
+    Given an entry in front of six plain servers and six engines that crash
     When the same <kind> request is sent 6 times
     Then the last attempt is refused as "crashes_servers"
     And 3 of the servers have crashed
@@ -106,7 +106,7 @@
       | chat     |
       | streamed |
 
-  Scenario: A request that keeps coming stays refused
+  Scenario: A request that is sent repeatedly remains refused
     # Guards against a repeated request that crashes servers every ten minutes.
     Given a fleet in which servers crashed 3 times under a request
     When the request is sent 5 times at intervals of 400 seconds
@@ -142,7 +142,7 @@
     And the store is written, and all instances are replaced
     Then the fleet admits the request
 
-  Scenario: Crashes count together whatever fails among instances and store
+  Scenario: Crashes are counted correctly despite failures of instances and store
     # Guards against losing crashes, or quarantining other requests, in a
     # partition, a store outage or a restart.
     When the quarantine state machine runs 300 times with 30 steps
--- a/tests/features/steps/claims.py
+++ b/tests/features/steps/claims.py
@@ -20,12 +20,12 @@
 
 _ACCOUNT = 'plant-1'
 _BODY = claim_keys.fingerprint(b'body')
-_APART_SECONDS = 0.002
-_LIMIT_SECONDS = claim_fleet.LIMIT_SECONDS
+_INTERVAL_SECONDS = 0.002
+_TIMEOUT_SECONDS = claim_fleet.TIMEOUT_SECONDS
 
 
 class Attempt:
-    """One claim: what it was granted, or how it was refused."""
+    """One attempt to claim a key: the granted claim or the error reason."""
 
     def __init__(self, instance, key, body=_BODY):
         self.instance = instance
@@ -43,7 +43,7 @@
 
 def _claim_all(pairs):
     tries = [gevent.spawn(Attempt, *pair) for pair in pairs]
-    gevent.joinall(tries, timeout=_LIMIT_SECONDS, raise_error=True)
+    gevent.joinall(tries, timeout=_TIMEOUT_SECONDS, raise_error=True)
     return [each.get(block=False) for each in tries]
 
 
@@ -58,7 +58,7 @@
     return list(context.fleet.instances.values())
 
 
-def _list_others(context, key):
+def _list_running_non_collectors(context, key):
     collector = context.fleet.find_collector(key)
     return [
         instance
@@ -67,13 +67,13 @@
     ]
 
 
-@behave.given('a fleet of claims with {count:d} instances')
+@behave.given('a claim fleet with {count:d} instances')
 def start_fleet(context, count):
     _start_fleet(context, count)
 
 
 @behave.given(
-    'a fleet of claims with {count:d} instances that group for'
+    'a claim fleet with {count:d} instances that group claims for'
     ' {seconds:f} seconds'
 )
 def start_grouping_fleet(context, count, seconds):
@@ -84,7 +84,7 @@
     _start_fleet(context, count, settings_=claim_fleet.read_settings(**values))
 
 
-@behave.given('a fleet of claims with a window of {seconds:d} seconds')
+@behave.given('a claim fleet with a window of {seconds:d} seconds')
 def start_windowed_fleet(context, seconds):
     context.now = 1_800_000_000.0
     values = {'claims': {'window_seconds': seconds}}
@@ -96,42 +96,42 @@
     )
 
 
-@behave.given('the next claim swaps go "{fault}"')
-def set_fault(context, fault):
-    # The first swap of all writes the layout, without a fault.
+@behave.given('the next claim swap has the fault "{fault}"')
+def set_swap_fault(context, fault):
+    # The first swap writes the layout and must succeed.
     context.fleet.store.faults.extend(['', fault])
 
 
-@behave.given('the next claim swaps go "{fault}" for a whole claim')
-def set_faults(context, fault):
-    if not context.fleet.store.swaps:
+@behave.given('all swaps of the next claim have the fault "{fault}"')
+def set_all_swap_faults(context, fault):
+    if not context.fleet.store.swap_count:
         context.fleet.store.faults.append('')
     context.fleet.store.faults.extend([fault] * 1000)
 
 
-@behave.when("the claims' faults are over")
-def end_faults(context):
+@behave.when('the claim swaps have no more faults')
+def clear_swap_faults(context):
     context.fleet.store.faults.clear()
 
 
-@behave.when('the late claim swaps land')
-def land_late(context):
-    assert context.fleet.store.late
-    context.fleet.store.land()
+@behave.when('the service processes the delayed claim swaps')
+def process_delayed_swaps(context):
+    assert context.fleet.store.delayed_swaps
+    context.fleet.store.process_delayed_swaps()
 
 
-@behave.given("the claims' service is down")
-def take_down(context):
+@behave.given('the key-value service of the claims is down')
+def stop_service(context):
     context.fleet.store.down = True
 
 
-@behave.when("the claims' service is up")
-def bring_up(context):
+@behave.when('the key-value service of the claims is up')
+def start_service(context):
     context.fleet.store.down = False
 
 
-@behave.given('the collector of "{key}" is dead')
-def kill_collector(context, key):
+@behave.given('the collector of "{key}" has stopped')
+def crash_collector(context, key):
     context.fleet.crash(context.fleet.find_collector(key))
 
 
@@ -144,10 +144,11 @@
     context.fleet.pause(name)
 
 
-@behave.when('the collector of "{key}" wakes')
-def wake_collector(context, key):
-    context.fleet.wake(context.collector)
-    # What it still holds is written by its next group.
+@behave.when('the collector of "{key}" resumes')
+def resume_collector(context, key):
+    context.fleet.resume(context.collector)
+    # Claims that are still queued at the collector are written with its next
+    # group.
     assert Attempt(context.fleet.instances[context.collector], 'next').granted
     context.fleet.drain()
 
@@ -158,13 +159,13 @@
     context.fleet.pause(name)
 
 
-@behave.when('the claims of "{name}" go on')
-def wake_claims(context, name):
-    context.fleet.wake(name)
+@behave.when('the claims of "{name}" resume')
+def resume_claims(context, name):
+    context.fleet.resume(name)
 
 
-@behave.when('a caller claims "{key}" and leaves')
-def claim_and_leave(context, key):
+@behave.when('a caller claims "{key}" and disconnects')
+def claim_and_disconnect(context, key):
     caller = gevent.spawn(Attempt, _list_instances(context)[0], key)
     gevent.sleep(0.02)
     caller.kill()
@@ -172,8 +173,10 @@
 
 @behave.when('the key "{key}" is claimed at {count:d} instances at once')
 def claim_at_once(context, key, count):
-    # Instances that do not collect the shard come first.
-    instances = _list_others(context, key) or _list_instances(context)
+    # Instances that are not the collector of the shard are used first.
+    instances = _list_running_non_collectors(context, key) or _list_instances(
+        context
+    )
     instances += [
         instance
         for name, instance in context.fleet.instances.items()
@@ -189,11 +192,14 @@
     instances = itertools.cycle(_list_instances(context))
     tries = [
         gevent.spawn_later(
-            number * _APART_SECONDS, Attempt, next(instances), f'key-{number}'
+            number * _INTERVAL_SECONDS,
+            Attempt,
+            next(instances),
+            f'key-{number}',
         )
         for number in range(count)
     ]
-    gevent.joinall(tries, timeout=_LIMIT_SECONDS, raise_error=True)
+    gevent.joinall(tries, timeout=_TIMEOUT_SECONDS, raise_error=True)
     context.attempts = [each.get(block=False) for each in tries]
 
 
@@ -205,10 +211,14 @@
 
 @behave.then('the claims took at most {count:d} swaps')
 def check_swaps(context, count):
-    assert context.fleet.store.swaps <= count, context.fleet.store.swaps
+    assert context.fleet.store.swap_count <= count, (
+        context.fleet.store.swap_count
+    )
 
 
-@behave.then('exactly 1 claim was granted and {count:d} ended "{reason}"')
+@behave.then(
+    'exactly 1 claim was granted and {count:d} failed with "{reason}"'
+)
 def check_one_granted(context, count, reason):
     granted = [each for each in context.attempts if each.granted]
     reasons = [each.reason for each in context.attempts if each.reason]
@@ -217,7 +227,7 @@
     context.granted = granted[0]
 
 
-@behave.then('no claim was granted and {count:d} ended "{reason}"')
+@behave.then('no claim was granted and {count:d} failed with "{reason}"')
 def check_none_granted(context, count, reason):
     reasons = [each.reason for each in context.attempts]
     assert reasons == [reason] * count, reasons
@@ -234,30 +244,30 @@
 
 
 @behave.when(
-    'the granted claim is settled as not run by way of the other instance'
+    'the granted claim is settled as not run through the other instance'
 )
 def settle_elsewhere(context):
-    context.fleet.believe({'poa-a-0'}, at='poa-a-1')
+    context.fleet.set_live_members({'poa-a-0'}, at='poa-a-1')
     _settle(context, claims.ClaimState.NOT_RUN)
-    context.fleet.believe({'poa-a-1'}, at='poa-a-1')
+    context.fleet.set_live_members({'poa-a-1'}, at='poa-a-1')
 
 
 def _settle(context, state):
     (granted,) = [each for each in context.attempts if each.granted]
     granted.granted.settle(state)
-    assert granted.instance.drain(_LIMIT_SECONDS)
+    assert granted.instance.drain(_TIMEOUT_SECONDS)
 
 
-@behave.when('the settlements are kept')
-def keep_settlements(context):
+@behave.when('all settlements are stored')
+def store_settlements(context):
     context.fleet.drain()
 
 
-@behave.when('the settlements of the others are kept')
-def keep_others_settlements(context):
+@behave.when('the settlements of the running instances are stored')
+def store_running_settlements(context):
     for name, instance in context.fleet.instances.items():
         if name not in context.fleet.paused:
-            assert instance.drain(_LIMIT_SECONDS)
+            assert instance.drain(_TIMEOUT_SECONDS)
 
 
 @behave.when('the key "{key}" is claimed again')
@@ -265,10 +275,10 @@
     context.again = Attempt(_list_instances(context)[-1], key)
 
 
-@behave.then('the key "{key}" is granted before long')
+@behave.then('the key "{key}" is granted within the time limit')
 def claim_until_granted(context, key):
-    # The late grant travels back to its owner, which withdraws it.
-    ends = time.monotonic() + _LIMIT_SECONDS
+    # The late grant is sent to the owner of the claim, which withdraws it.
+    ends = time.monotonic() + _TIMEOUT_SECONDS
     claim_again(context, key)
     while not context.again.granted and time.monotonic() < ends:
         assert context.again.reason == 'in_progress', context.again.reason
@@ -288,12 +298,12 @@
     assert context.again.granted, context.again.reason
 
 
-@behave.then('the claim ends "{reason}"')
+@behave.then('the claim fails with "{reason}"')
 def check_reason(context, reason):
     assert context.again.reason == reason, context.again.reason
 
 
-@behave.then('a settlement that comes late leaves the claim done')
+@behave.then('a delayed withdrawal leaves the claim done')
 def check_late_settlement(context):
     (granted,) = [each.granted for each in context.attempts if each.granted]
     late = claim_messages.ClaimSettlement(
@@ -303,19 +313,19 @@
     )
     for instance in _list_instances(context):
         instance.receive('poa-a-9', late)
-    # The settlement waits for a group; a claim makes one.
+    # The settlement is queued until the next group, which a claim starts.
     assert Attempt(_list_instances(context)[0], 'group').granted
     claim_again(context, 'b-1')
     check_reason(context, 'already_done')
 
 
-@behave.given('each instance takes itself for the only one')
-def split_beliefs(context):
+@behave.given('each instance considers itself the only live instance')
+def isolate_instances(context):
     for name in context.fleet.instances:
-        context.fleet.believe({name}, at=name)
+        context.fleet.set_live_members({name}, at=name)
 
 
-@behave.when('the instance of the granted claim is gone for all')
+@behave.when('the instance of the granted claim has left the fleet')
 def remove_instance(context):
     (granted,) = context.attempts
     (name,) = [
@@ -324,11 +334,11 @@
         if instance is granted.instance
     ]
     context.fleet.crash(name)
-    context.fleet.believe(set(context.fleet.rosters) - {name})
+    context.fleet.set_live_members(set(context.fleet.rosters) - {name})
 
 
 def _make_key(context):
-    # RFC 9562: 48 bits of milliseconds, the version 7, the variant 2.
+    # RFC 9562: 48 bits of Unix milliseconds, version 7, variant 2.
     milliseconds = int(context.now * 1000)
     return f'{milliseconds:012x}70008000000000000001'
 
@@ -341,7 +351,7 @@
     context.fleet.drain()
 
 
-@behave.when('{seconds:d} seconds pass for the claims')
+@behave.when('the clock of the claims advances by {seconds:d} seconds')
 def pass_time(context, seconds):
     context.now += seconds
 
@@ -351,7 +361,9 @@
     claim_again(context, context.key)
 
 
-@behave.then("the claims' shard holds {count:d} records after another claim")
+@behave.then(
+    'the claim shard contains {count:d} old records after another claim'
+)
 def check_records(context, count):
     assert Attempt(_list_instances(context)[0], 'another').granted
     entry = context.fleet.store.entries['/amaranthslip/claims/0']
@@ -359,7 +371,7 @@
     assert len(shard) == count + 1, len(shard)
 
 
-@behave.given('a fleet of claims whose shard is full')
+@behave.given('a claim fleet whose shard is full')
 def start_full_fleet(context):
     _start_fleet(context, 1)
     now = context.fleet.clock()
@@ -379,7 +391,7 @@
     context.fleet.store.apply('/amaranthslip/claims/0', value, 0)
 
 
-@behave.then('the full shard still tells "{reason}" of its first key')
+@behave.then('the full shard still reports "{reason}" for its first key')
 def check_full_shard(context, reason):
     claim_again(context, 'old-0')
     check_reason(context, reason)
@@ -394,20 +406,20 @@
     context.again = Attempt(context.fleet.instances['poa-b-9'], key)
 
 
-@behave.when("the claims' service is saved")
+@behave.when("the state of the claims' service is saved")
 def save_service(context):
     context.saved = dict(context.fleet.store.entries)
     context.saved_revision = context.fleet.store.revision
 
 
-@behave.when("the claims' service is restored")
+@behave.when("the state of the claims' service is restored")
 def restore_service(context):
     context.fleet.store.entries = context.saved
     context.fleet.store.revision = context.saved_revision
 
 
-@behave.given('a fleet of claims over a key-value program that loses answers')
-def start_real_fleet(context):
+@behave.given('a claim fleet over a key-value program that loses answers')
+def start_http_fleet(context):
     service = standins.start(context, 'keyvalue')
     service.call('/standin/faults', mode='lose_some', fraction=0.5)
     settings_ = claim_fleet.read_settings(
@@ -442,7 +454,7 @@
     gevent.joinall(list(context.by_key.values()), raise_error=True)
 
 
-@behave.then('no key was granted twice and every key at most refused as true')
+@behave.then('no key was granted twice and every refusal was correct')
 def check_everywhere(context):
     total = 0
     for key, attempts in context.by_key.items():
@@ -462,20 +474,20 @@
 
 
 @behave.when(
-    "the claims' state machine runs {examples:d} examples of {steps:d} steps"
+    'the claim state machine runs {examples:d} examples of {steps:d} steps'
 )
 def run_machine(context, examples, steps):
-    context.machine_steps = claim_machine.COUNTS
-    context.machine_steps.clear()
+    context.result_counts = claim_machine.RESULT_COUNTS
+    context.result_counts.clear()
     stateful.run_state_machine_as_test(
         context.machine,
         settings=claim_machine.choose_settings(examples, steps),
     )
 
 
-@behave.then("the claims' state machine found no fault")
+@behave.then('the claim state machine passed and produced each main result')
 def check_machine(context):
-    counts = context.machine_steps
-    # The run met what it is meant for.
-    for met in ('granted', 'in_progress', 'already_done', 'refused'):
-        assert counts[met], counts
+    counts = context.result_counts
+    # The examples must have produced each of these results.
+    for result in ('granted', 'in_progress', 'already_done', 'refused'):
+        assert counts[result], counts
--- a/tests/features/steps/crashes.py
+++ b/tests/features/steps/crashes.py
@@ -17,10 +17,10 @@
 
 _REQUEST = b'request'
 _BOUNDS = {'revoke_milliseconds': 60000, 'apply_milliseconds': 30000}
-# Crashes after which a request is refused, and further crashes that the test
-# tolerates.
-_MOST_CRASHES = 3
-_MOST_FURTHER_CRASHES = 3
+# Crashes after which a request is refused, and the number of further crashes
+# that the test tolerates.
+_CRASH_LIMIT = 3
+_MAX_FURTHER_CRASHES = 3
 
 
 @behave.given('{count:d} instances in front of {servers:d} engines')
@@ -52,13 +52,13 @@
 
 @behave.given('the engines crash under the request "{body}"')
 def crash_engines(context, body):
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         if request.body == body.encode():
             return operated.crash(backend, sock, request)
         return operated.stream(1, 3)(backend, sock, request)
 
     for each in context.sides[0].backends.values():
-        each.always = follow
+        each.always = respond
 
 
 @behave.when(
@@ -80,9 +80,9 @@
 
 
 @behave.then('at most the allowed number of engines have crashed')
-def check_most_crashed(context):
+def check_crash_limit(context):
     crashed = _count_crashed(context)
-    assert crashed <= _MOST_CRASHES + _MOST_FURTHER_CRASHES, crashed
+    assert crashed <= _CRASH_LIMIT + _MAX_FURTHER_CRASHES, crashed
 
 
 @behave.then('{count:d} engines have crashed')
@@ -95,18 +95,18 @@
     for side in context.sides:
         # The last report may still be in transit.
         exchanges.wait_until(lambda: side.read_status()['quarantined'])
-        found = side.ask(path, body=body.encode())
-        assert found.status == 429, found.data
-        assert found.error['code'] == code, found.data
-        assert found.error['not_run'] is True
-        assert float(found.headers['retry-after']) > 0
+        answer = side.ask(path, body=body.encode())
+        assert answer.status == 429, answer.data
+        assert answer.error['code'] == code, answer.data
+        assert answer.error['not_run'] is True
+        assert float(answer.headers['retry-after']) > 0
 
 
 @behave.then('each instance serves "{body}" for "{path}"')
 def check_served(context, body, path):
     for side in context.sides:
-        found = side.ask(path, body=body.encode())
-        assert found.status == 200 and found.complete, found.data
+        answer = side.ask(path, body=body.encode())
+        assert answer.status == 200 and answer.complete, answer.data
 
 
 def _list_quarantine_keys(context):
@@ -152,14 +152,14 @@
 def crash_or_delay(context, body):
     context.release = event.Event()
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         if request.body == body.encode():
             return operated.crash(backend, sock, request)
         context.release.wait()
         return operated.stream(1, 3)(backend, sock, request)
 
     for each in context.sides[0].backends.values():
-        each.always = follow
+        each.always = respond
 
 
 @behave.when(
@@ -193,11 +193,11 @@
 @behave.then('the delayed requests are answered, or served when sent again')
 def check_delayed(context):
     for name, delayed in context.delayed.items():
-        found = delayed.get()
-        if found.status != 200:
-            assert found.status == 502, found.data
-            found = context.sides[0].ask(context.path, body=name.encode())
-        assert found.status == 200 and found.complete, found.data
+        answer = delayed.get()
+        if answer.status != 200:
+            assert answer.status == 502, answer.data
+            answer = context.sides[0].ask(context.path, body=name.encode())
+        assert answer.status == 200 and answer.complete, answer.data
 
 
 def _crash_on_request(script, sock):
@@ -205,7 +205,9 @@
         script.crash()
 
 
-@behave.given('an entry before six plain servers and six engines that crash')
+@behave.given(
+    'an entry in front of six plain servers and six engines that crash'
+)
 def start_entry(context):
     context.scripts = [exchanges.Script(_crash_on_request) for _ in range(12)]
     addresses = [each.address for each in context.scripts]
@@ -213,8 +215,8 @@
         callers.build_document(addresses[:6], addresses[6:])
     )
     context.add_cleanup(context.entry_side.close)
-    for each in context.scripts:
-        context.add_cleanup(each.close)
+    for script in context.scripts:
+        context.add_cleanup(script.close)
 
 
 _REQUESTS_BY_KIND = {
@@ -274,7 +276,7 @@
 def crash_configured_server(context, count):
     context.fleet = quarantine_machine.Fleet()
     for _ in range(count):
-        # Reports less than a second apart would count as one crash.
+        # Reports less than a second apart would count as the same crash.
         context.fleet.now += 5.0
         context.fleet.running['m0'].exchange.report(
             _REQUEST, 'server', 0, last_event=0
@@ -298,7 +300,8 @@
     'the request completes at the instance that reported the last crash'
 )
 def complete_at_reporter(context):
-    # The entry is written, but its revision is not read before the completion.
+    # The entry is written, but the instances do not load its revision before
+    # the completion.
     for instance in context.fleet.running.values():
         instance.write()
     context.fleet.running['m1'].exchange.complete(_REQUEST)
@@ -401,28 +404,28 @@
 def crash_on_release(context):
     context.release = event.Event()
 
-    def follow(backend, sock, request):
+    def respond(backend, sock, request):
         context.release.wait()
         return operated.crash(backend, sock, request)
 
     for each in context.side.backends.values():
-        each.always = follow
+        each.always = respond
 
 
 @behave.when('a request for "{path}" waits for its answer')
 def start_request(context, path):
     context.waiting = operated.spawn(context.side.ask, path)
-    exchanges.wait_until(lambda: _list_asked(context))
+    exchanges.wait_until(lambda: _list_servers_with_requests(context))
 
 
-def _list_asked(context):
+def _list_servers_with_requests(context):
     return [each for each in context.side.backends.values() if each.requests]
 
 
 @behave.when('the server running it registers as draining and exits')
 def drain_and_exit(context):
-    (asked,) = _list_asked(context)
-    context.side.register(asked, state='draining')
+    (server,) = _list_servers_with_requests(context)
+    context.side.register(server, state='draining')
     context.side.wait_known()
     context.release.set()
     context.answer = context.waiting.get()
@@ -431,8 +434,8 @@
 @behave.then('each failed try is logged with server crashed: {crashed}')
 def check_server_crashed(context, crashed):
     failed = context.log.find('try_failed')
-    found = [each.server_crashed for each in failed]
-    assert found and set(found) == {crashed == 'yes'}, found
+    flags = [each.server_crashed for each in failed]
+    assert flags and set(flags) == {crashed == 'yes'}, flags
 
 
 @behave.then('these requests match the fingerprint of the first as listed')
--- a/tests/features/steps/retries.py
+++ b/tests/features/steps/retries.py
@@ -1,4 +1,4 @@
-"""Steps about retries: when a request goes out again, and when never."""
+"""Steps about retries: when a request is resent, and when it is not."""
 
 import random
 
@@ -25,13 +25,13 @@
         sock.sendall(exchanges.write_answer(b'ok'))
 
 
-def _cut_second(script, sock):
+def _close_on_second_request(script, sock):
     script.read(sock)
     sock.sendall(exchanges.write_answer(b'ok'))
     script.read(sock)
 
 
-def _cut_each(script, sock):
+def _close_after_request(script, sock):
     script.read(sock)
 
 
@@ -40,96 +40,104 @@
     sock.recv(1)
 
 
-@behave.given('a retrying entry before a dead server and a live one')
-def start_dead_and_live(context):
-    context.live = sides.add_script(context, _answer_all)
-    dead = exchanges.find_free_address()
-    _start(context, dead, context.live.address)
+@behave.given(
+    'an entry with retries in front of a stopped server and a running one'
+)
+def start_with_stopped_and_running(context):
+    context.running_server = sides.add_script(context, _answer_all)
+    stopped_address = exchanges.find_free_address()
+    _start(context, stopped_address, context.running_server.address)
 
 
-@behave.given('a retrying entry before a dead server')
-def start_dead(context):
+@behave.given('an entry with retries in front of a stopped server')
+def start_with_stopped(context):
     _start(context, exchanges.find_free_address())
 
 
 @behave.given(
-    "a retrying entry before a server that cuts each connection's second"
-    ' request'
+    'an entry with retries in front of a server that closes each connection'
+    ' on its second request'
 )
-def start_cutting_second(context):
-    context.live = sides.add_script(context, _cut_second)
-    _start(context, context.live.address)
+def start_closing_second(context):
+    context.running_server = sides.add_script(
+        context, _close_on_second_request
+    )
+    _start(context, context.running_server.address)
 
 
 @behave.given(
-    'a retrying entry before a server that takes requests and cuts, and a'
-    ' live one'
+    'an entry with retries in front of a server that reads requests and'
+    ' closes, and a running one'
 )
-def start_cutting_and_live(context):
-    context.live = sides.add_script(context, _answer_all)
+def start_closing_and_running(context):
+    context.running_server = sides.add_script(context, _answer_all)
     _start(
         context,
-        sides.add_script(context, _cut_each).address,
-        context.live.address,
+        sides.add_script(context, _close_after_request).address,
+        context.running_server.address,
     )
 
 
-@behave.given('a retrying entry before a server that takes requests and cuts')
-def start_cutting(context):
-    _start(context, sides.add_script(context, _cut_each).address)
+@behave.given(
+    'an entry with retries in front of a server that reads requests and closes'
+)
+def start_closing(context):
+    _start(context, sides.add_script(context, _close_after_request).address)
 
 
 @behave.given(
-    'a retrying entry whose requests have {seconds:f} s, with {place}'
+    'an entry with retries and a deadline of {seconds:f} s, with {condition}'
 )
-def start_late(context, seconds, place):
+def start_with_deadline(context, seconds, condition):
     script = sides.add_script(context, _stay_silent)
     _start(context, script.address, deadline=seconds)
-    if place == 'no slot':
+    if condition == 'no free slot':
         context.side.scheduler.gate.clear()
 
 
-def _ask(context, method, path):
+def _send_request(context, method, path):
     received = exchanges.ask(context.side, method, path, b'{}')
     context.answers.append(received)
 
 
-@behave.when('a caller of the retrying entry books')
-def book(context):
-    _ask(context, 'POST', _BOOKINGS)
+@behave.when('a caller of the entry sends a booking')
+def send_booking(context):
+    _send_request(context, 'POST', _BOOKINGS)
 
 
-@behave.when('a caller of the retrying entry looks')
-def look(context):
-    _ask(context, 'GET', _STATUS)
+@behave.when('a caller of the entry sends a status query')
+def send_query(context):
+    _send_request(context, 'GET', _STATUS)
 
 
-@behave.when('a caller of the retrying entry looks, and then books')
-def look_and_book(context):
-    look(context)
-    book(context)
+@behave.when('a caller of the entry sends a status query, and then a booking')
+def send_query_and_booking(context):
+    send_query(context)
+    send_booking(context)
 
 
-@behave.when('a caller of the retrying entry looks {count:d} times')
-def look_often(context, count):
+@behave.when('a caller of the entry sends {count:d} status queries')
+def send_queries(context, count):
     for _ in range(count):
-        look(context)
+        send_query(context)
 
 
-@behave.then('the retried booking is answered and was executed once')
-@behave.then('the retried booking is answered and was received once')
-def check_booked(context):
+@behave.then('the booking is answered, and the server executed it once')
+@behave.then('the booking is answered, and the server received it once')
+def check_booking(context):
     assert context.answers[-1].status == 200, context.answers[-1].data
     received = [
-        each for each in context.live.requests if each.startswith(b'POST')
+        each
+        for each in context.running_server.requests
+        if each.startswith(b'POST')
     ]
     assert len(received) == 1, received
 
 
-@behave.then('the booking came on a connection of its own')
+@behave.then('the booking was sent on a separate connection')
 def check_connections(context):
-    assert context.live.connections == 2
-    assert len(context.live.requests) == 2
+    assert context.running_server.connections == 2
+    assert len(context.running_server.requests) == 2
 
 
 @behave.then('the retry counter "{reason}" is {count:d}')
@@ -139,33 +147,33 @@
     assert ended == [outcomes.Outcome.FAILED, outcomes.Outcome.DONE]
 
 
-@behave.then('each look of the retrying entry is answered')
-def check_looks(context):
+@behave.then('each status query to the entry is answered')
+def check_queries(context):
     assert [each.status for each in context.answers] == [200] * 3
 
 
-@behave.then('no retry was taken from the budget')
+@behave.then('no retry was charged to the budget')
 def check_no_retry(context):
     assert len(context.side.scheduler.grants) == len(context.answers)
-    # The second request met the stale connection and went out again.
-    assert len(context.live.requests) > len(context.answers)
+    # The second request was resent, because its connection was stale.
+    assert len(context.running_server.requests) > len(context.answers)
 
 
-@behave.then('the retrying entry answers {status:d} as {truth}')
-def check_truth(context, status, truth):
+@behave.then('the entry with retries answers {status:d} as {outcome}')
+def check_outcome(context, status, outcome):
     received = context.answers[-1]
     assert received.status == status, received.data
     error = received.error
-    assert error['not_run'] is (truth == 'not run'), error
+    assert error['not_run'] is (outcome == 'not run'), error
     unknown = error['code'] == 'outcome_unknown'
-    assert unknown is (truth == 'unknown'), error
-    assert ('retry-after' in received.headers) is (truth == 'not run')
+    assert unknown is (outcome == 'unknown'), error
+    assert ('retry-after' in received.headers) is (outcome == 'not run')
     assert context.side.scheduler.in_use == 0
 
 
-@behave.then('the live server of the retrying entry got nothing')
-def check_nothing(context):
-    assert context.live.requests == []
+@behave.then('the running server behind the entry received no request')
+def check_no_request(context):
+    assert context.running_server.requests == []
 
 
 @behave.given('a retry budget with a ratio of {ratio:g}')
@@ -180,26 +188,30 @@
     )
 
 
-@behave.when('an account retries {count:d} requests up to {most:d} times each')
-def retry_often(context, count, most):
+@behave.when(
+    'an account retries {count:d} requests up to {limit:d} times each'
+)
+def retry_repeatedly(context, count, limit):
     context.allowed = 0
     for _ in range(count):
         context.budget.note_request('large')
-        for tries in range(1, most + 1):
+        for tries in range(1, limit + 1):
             wait = context.budget.take(
                 'large', 'cut', tries=tries, deadline=2000
             )
             context.allowed += wait is not None
 
 
-@behave.then('it was allowed at most 10 retries and a fifth of its requests')
+@behave.then(
+    'the account was allowed at most 10 retries plus a fifth of its requests'
+)
 def check_budget(context):
     assert 28 <= context.allowed <= 30, context.allowed
     assert context.metrics.read('retries', 'cut') == context.allowed
 
 
-@behave.then("another account's retries were untouched")
-def check_other(context):
+@behave.then('the retry budget of another account is still full')
+def check_other_account(context):
     taken = [
         context.budget.take('small', 'reset', tries=1, deadline=2000)
         for _ in range(10)
@@ -213,7 +225,7 @@
     assert denied == 300 - context.allowed
 
 
-@behave.when('retries are asked for with growing numbers of tries')
+@behave.when('retries are requested with increasing numbers of tries')
 def draw_waits(context):
     context.waits = {}
     for tries in (1, 2, 3, 20):
@@ -225,17 +237,17 @@
 
 
 @behave.then(
-    'the retry waits are spread over twice their mean up to {most:g} s'
+    'the retry waits range up to twice their mean, which grows to {limit:g} s'
 )
-def check_waits(context, most):
-    for tries, mean in ((1, 0.05), (2, 0.1), (3, 0.2), (20, most)):
+def check_waits(context, limit):
+    for tries, mean in ((1, 0.05), (2, 0.1), (3, 0.2), (20, limit)):
         waits = context.waits[tries]
         assert max(waits) <= 2 * mean and max(waits) > 1.9 * mean
         assert min(waits) < 0.1 * mean
         assert abs(sum(waits) / len(waits) - mean) < 0.1 * mean
 
 
-@behave.then('no retry is allowed that would wait past the deadline')
+@behave.then('no retry is allowed whose wait would end after the deadline')
 def check_deadline(context):
     for _ in range(200):
         context.budget.note_request('b')
--- a/tests/support/claim_fleet.py
+++ b/tests/support/claim_fleet.py
@@ -1,4 +1,4 @@
-"""Several Claims over one key-value service, linked in memory."""
+"""Claims instances over one key-value service, connected in memory."""
 
 import time
 
@@ -15,11 +15,11 @@
 
 registry.register_all()
 
-LIMIT_SECONDS = 10
+TIMEOUT_SECONDS = 10
 
 
 def read_settings(**values):
-    """Return settings with quick limits; sections are given by keyword."""
+    """Return settings with short timeouts; keywords override sections."""
     base = {
         'instance': {
             'name': 'poa-a-1',
@@ -43,7 +43,7 @@
 
 
 class Outbox:
-    """One instance's way to its peers, through the real codec."""
+    """Sends messages of one instance to its peers, through the real codec."""
 
     __slots__ = ('_fleet', '_name')
 
@@ -52,7 +52,7 @@
         self._name = name
 
     def send(self, name, message):
-        """Deliver to a peer later, unless it is cut off."""
+        """Deliver a message asynchronously; return False for unknown peers."""
         if name not in self._fleet.instances:
             return False
         data = codec.encode([message])
@@ -61,7 +61,7 @@
 
 
 class Roster:
-    """The members that one instance believes in."""
+    """The members that one instance considers live."""
 
     __slots__ = ('names', 'generation')
 
@@ -70,7 +70,7 @@
         self.generation = 0
 
     def live(self):
-        """Return the members, as a roster does."""
+        """Return the live members in the form of `members.roster.Roster`."""
         return tuple(
             members.Member(
                 name=name,
@@ -84,7 +84,7 @@
 
 
 class Fleet:
-    """Instances by name, each with a roster of its own."""
+    """Instances by name, each with its own roster."""
 
     def __init__(self, *, settings_=None, clock=None, open_key_value=None):
         self.settings = settings_ or read_settings()
@@ -93,16 +93,16 @@
         self.instances = {}
         self.clients = {}
         self.metrics = metrics.Metrics()
-        self.deaf = set()
+        self.unreachable = set()
         self.paused = {}
         self.rosters = {}
-        self._open_key_value = open_key_value or self._open_fake
+        self._open_key_value = open_key_value or self._open_fake_client
 
-    def _open_fake(self):
+    def _open_fake_client(self):
         return fake_key_value.FakeKeyValue(self.store)
 
     def start(self, name, *, settings_=None):
-        """Start an instance without memory."""
+        """Start an instance without state from earlier runs."""
         self.clients[name] = self._open_key_value()
         self.instances[name] = claims.Claims(
             settings_ or self.settings,
@@ -113,53 +113,55 @@
             name,
             clock=lambda: self.clock(),
         )
-        self.believe(self.rosters)
+        self.set_live_members(self.rosters)
 
-    def believe(self, names, *, at=None):
-        """Let every instance, or the one `at` a name, take these for live."""
+    def set_live_members(self, names, *, at=None):
+        """Set the live members at the instance named `at`, or at all."""
         for name, roster in self.rosters.items():
             if at in (None, name):
                 roster.names = tuple(sorted(names))
                 roster.generation += 1
 
     def crash(self, name):
-        """End an instance; the others still believe in it."""
+        """Stop an instance, which the other instances still consider live."""
         self.instances.pop(name).close()
 
     def pause(self, name):
-        """Stop an instance's messages and calls on their way."""
+        """Block the messages and the key-value calls of an instance."""
         self.paused[name] = event.Event()
         self.clients[name].pause()
 
-    def wake(self, name):
-        """Let a paused instance go on, still believing."""
+    def resume(self, name):
+        """Resume a paused instance with the state that it had."""
         self.clients[name].resume()
         self.paused.pop(name).set()
 
     def deliver(self, sender, name, data):
-        """Hand a message over when both ends are awake."""
-        for end in (sender, name):
-            if end in self.paused:
-                self.paused[end].wait()
-        if name in self.deaf or name not in self.instances:
+        """Deliver a message once neither of its two instances is paused."""
+        for instance in (sender, name):
+            if instance in self.paused:
+                self.paused[instance].wait()
+        if name in self.unreachable or name not in self.instances:
             return
         for message in codec.decode(data):
             self.instances[name].receive(sender, message)
 
     def find_collector(self, key, account='plant-1'):
-        """Return the name of the instance that collects a key's shard."""
-        request = claims.claim_keys.hash_key(account, key)
-        some = next(iter(self.instances.values()))
-        return some._find_collector(some._find_shard(request))
+        """Return the name of the collector of a key's shard."""
+        key_hash = claims.claim_keys.hash_key(account, key)
+        instance = next(iter(self.instances.values()))
+        return instance._find_collector(instance._find_shard(key_hash))
 
     def drain(self):
-        """Wait until every settlement is kept."""
+        """Wait until all settlements are stored."""
         for instance in self.instances.values():
-            assert instance.drain(LIMIT_SECONDS), 'settlements not kept'
+            assert instance.drain(TIMEOUT_SECONDS), (
+                'settlements are still pending'
+            )
 
     def close(self):
-        """End every instance."""
+        """Stop all instances."""
         for name in list(self.paused):
-            self.wake(name)
+            self.resume(name)
         for name in list(self.instances):
             self.crash(name)
--- a/tests/support/fake_key_value.py
+++ b/tests/support/fake_key_value.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, with faults chosen call by call."""
+"""An in-memory key-value service with a selectable fault for each swap."""
 
 import collections
 
@@ -10,39 +10,47 @@
 
 
 class FakeStore:
-    """The service's state, which every client shares."""
+    """The state of the service, shared by all clients."""
 
-    __slots__ = ('entries', 'revision', 'down', 'faults', 'late', 'swaps')
+    __slots__ = (
+        'entries',
+        'revision',
+        'down',
+        'faults',
+        'delayed_swaps',
+        'swap_count',
+    )
 
     def __init__(self) -> None:
         self.entries: dict[str, keyvalue.Entry] = {}
         self.revision = 0
         self.down = False
-        # One for each of the next swaps: '' (none), 'before' (no effect, no
-        # answer), 'after' (effect, no answer), 'late' (no answer, and the
-        # effect when `land` is called) or 'after_and_down'.
+        # Faults of the next swaps, in order: '' (none), 'lost_request' (no
+        # effect and no answer), 'lost_answer' (effect but no answer),
+        # 'delayed' (no answer, and the swap is processed when
+        # `process_delayed_swaps` is called) or 'lost_answer_and_outage'.
         self.faults: collections.deque[str] = collections.deque()
-        self.late: list[tuple[str, bytes, int]] = []
-        self.swaps = 0
+        self.delayed_swaps: list[tuple[str, bytes, int]] = []
+        self.swap_count = 0
 
     def apply(self, key: str, value: bytes, expected: int) -> int | None:
-        """Compare and swap at once."""
-        held = self.entries.get(key)
-        if (held.revision if held else 0) != expected:
+        """Compare and swap immediately."""
+        entry = self.entries.get(key)
+        if (entry.revision if entry else 0) != expected:
             return None
         self.revision += 1
         self.entries[key] = keyvalue.Entry(key, value, self.revision)
         return self.revision
 
-    def land(self) -> None:
-        """Let the late writes come to their comparison."""
-        late, self.late = self.late, []
-        for key, value, expected in late:
+    def process_delayed_swaps(self) -> None:
+        """Compare and swap for all delayed swaps."""
+        swaps, self.delayed_swaps = self.delayed_swaps, []
+        for key, value, expected in swaps:
             self.apply(key, value, expected)
 
 
 class FakeKeyValue:
-    """One instance's client; `pause` stops its calls on their way."""
+    """The client of one instance; `pause` blocks its calls."""
 
     __slots__ = ('_store', '_running')
 
@@ -52,38 +60,40 @@
         self._running.set()
 
     def pause(self) -> None:
-        """Let no call leave until `resume`."""
+        """Block all calls until `resume`."""
         self._running.clear()
 
     def resume(self) -> None:
-        """Let the calls go on."""
+        """Unblock the calls."""
         self._running.set()
 
-    def _enter(self) -> None:
+    def _start_call(self) -> None:
         gevent.sleep(0)
         self._running.wait()
         if self._store.down:
-            raise errors.PlatformUnavailable('down; try again later')
+            raise errors.PlatformUnavailable(
+                'the key-value service is down; try again later'
+            )
 
     def get(self, key: str) -> keyvalue.Entry | None:
         """Read one key."""
-        self._enter()
+        self._start_call()
         return self._store.entries.get(key)
 
     def swap(self, key: str, value: bytes, *, expected: int) -> int | None:
-        """Swap one key, with the next fault of the store."""
-        self._enter()
+        """Compare and swap one key, applying the next fault of the store."""
+        self._start_call()
         store = self._store
-        store.swaps += 1
+        store.swap_count += 1
         fault = store.faults.popleft() if store.faults else ''
-        if fault == 'late':
-            store.late.append((key, value, expected))
-        if fault in ('late', 'before'):
-            raise errors.AnswerLost('no answer; read the key')
+        if fault == 'delayed':
+            store.delayed_swaps.append((key, value, expected))
+        if fault in ('delayed', 'lost_request'):
+            raise errors.AnswerLost('the answer was lost; read the key')
         revision = store.apply(key, value, expected)
         gevent.sleep(0)
-        if fault == 'after_and_down':
+        if fault == 'lost_answer_and_outage':
             store.down = True
         if fault:
-            raise errors.AnswerLost('no answer; read the key')
+            raise errors.AnswerLost('the answer was lost; read the key')
         return revision
--- a/tests/support/quarantine_machine.py
+++ b/tests/support/quarantine_machine.py
@@ -1,4 +1,4 @@
-"""A Hypothesis state machine for the quarantine of a small fleet."""
+"""A Hypothesis state machine for the quarantine in a small fleet."""
 
 import collections
 import itertools
@@ -18,15 +18,15 @@
 from tests.support import callers
 
 _NAMES = ('m0', 'm1', 'm2', 'm3')
-_NAME = strategies.sampled_from(_NAMES)
-_NUMBER = strategies.integers(0, 1)
+_NAME_STRATEGY = strategies.sampled_from(_NAMES)
+_NUMBER_STRATEGY = strategies.integers(0, 1)
 _POISON = b'poison'
 _POPULAR = b'popular'
 # Crashes after which a request must not be run again.
-_MOST_CRASHES = 3
+_CRASH_LIMIT = 3
 # Consecutive crashes under a request that did not cause them. The limits on
 # tries and on the caller's attempts prevent more.
-_MOST_COINCIDENCES = 2
+_MAX_COINCIDENTAL_CRASHES = 2
 
 
 def build_member(name):
@@ -76,11 +76,13 @@
 
     def _check(self):
         if self.down:
-            raise errors.PlatformUnavailable('down; try again later')
+            raise errors.PlatformUnavailable(
+                'the store is down; try again later'
+            )
 
 
 class Instance:
-    """The quarantine of an instance, without its state before a restart."""
+    """The quarantine of one instance, created empty as after a restart."""
 
     def __init__(self, fleet, name):
         self.name = name
@@ -90,12 +92,12 @@
         self.stored = quarantined.StoredQuarantine(
             settings, fleet.store, self.quarantine
         )
-        known = roster.Roster(build_member(name))
+        member_roster = roster.Roster(build_member(name))
         for other in _NAMES:
             if other != name:
-                known.put(build_member(other))
+                member_roster.put(build_member(other))
         self.exchange = crash_exchange.CrashExchange(
-            known, self, self.quarantine, self.stored, FakeMetrics()
+            member_roster, self, self.quarantine, self.stored, FakeMetrics()
         )
 
     def send(self, name, message):
@@ -131,22 +133,23 @@
         self.now = 100.0
         self.store = Store()
         self.running = {name: Instance(self, name) for name in _NAMES}
-        # Names of the partitioned instances.
-        self.cut = set()
+        # Names of the partitioned instances, which exchange no messages and
+        # do not load the store when they restart.
+        self.partitioned = set()
         self._in_flight = collections.deque()
 
     def read_clock(self):
         return self.now
 
     def send(self, sender, name, message):
-        if not {sender, name} & self.cut:
+        if not {sender, name} & self.partitioned:
             self._in_flight.append((sender, name, codec.encode([message])))
 
     def deliver(self):
         """Deliver the messages in transit and all that they trigger."""
         while self._in_flight:
             sender, name, data = self._in_flight.popleft()
-            if name in self.running and not {sender, name} & self.cut:
+            if name in self.running and not {sender, name} & self.partitioned:
                 (message,) = codec.decode(data)
                 self.running[name].exchange.receive(sender, message)
 
@@ -160,8 +163,8 @@
                     self.send(sender, receiver, each)
 
     @property
-    def holds_poison(self):
-        """Whether the store can be read and holds the poison request."""
+    def stores_poison(self):
+        """Whether the store is readable and contains the poison request."""
         suffix = '/' + _POISON.hex()
         return not self.store.down and any(
             key.endswith(suffix) for key in self.store.entries
@@ -170,13 +173,13 @@
     def restart(self, name):
         """Restart an instance, and load the store if it is reachable."""
         self.running[name] = Instance(self, name)
-        if not self.store.down and name not in self.cut:
+        if not self.store.down and name not in self.partitioned:
             self.running[name].read()
         self.connect(name)
 
-    def settle(self):
+    def synchronize_all(self):
         """Clear all faults, and synchronize the instances and the store."""
-        self.cut.clear()
+        self.partitioned.clear()
         self.store.down = False
         for name in self.running:
             self.connect(name)
@@ -188,30 +191,33 @@
 
 
 class QuarantineMachine(stateful.RuleBasedStateMachine):
-    """Servers crash under one request, and cut off others; faults overlap.
+    """Servers crash under one request and interrupt others, during faults.
 
-    Oracle: once three servers crashed under the request and all instances
-    could hear of it, none runs it again, whichever restart. A request that was
-    only running on servers that crashed is never refused.
+    Oracle: once three servers have crashed under the request and all instances
+    could receive the reports, no instance runs the request again, whichever
+    instances restart. A request that was only running on crashed servers, and
+    did not cause the crashes, is never refused.
     """
 
     def __init__(self):
         super().__init__()
         self.fleet = Fleet()
         self.incarnations = itertools.count(1)
-        # Crashes under the poison request: all, those that cannot have been
-        # lost by a restart, and the time of the last.
-        self.crashed = 0
-        self.remembered = 0
-        self.crashed_at = float('-inf')
+        # Crashes under the poison request: the number of all crashes, the
+        # number of those that no restart can have lost, and the time of the
+        # last crash.
+        self.crash_count = 0
+        self.durable_crash_count = 0
+        self.last_crash_at = float('-inf')
         # Whether three crashes could be reported to all instances.
-        self.heard = False
-        # Instances that started while cut off from the store and all peers.
-        self.unreached = set()
-        # For each innocent request: crashes since all instances learned of a
-        # completion, and the instance that has completed it since.
-        self.coincidences = collections.Counter()
-        self.completed = {}
+        self.reported_to_all = False
+        # Names of instances that started while cut off from the store and from
+        # all peers.
+        self.unsynchronized = set()
+        # For each harmless request: the number of crashes since all instances
+        # received a completion, and the instance that completed it since.
+        self.coincidental_crashes = collections.Counter()
+        self.completing_instances = {}
 
     def _crash(self, name, fingerprint, server, *, last_event=0):
         self.fleet.running[name].exchange.report(
@@ -221,42 +227,46 @@
             last_event=last_event,
         )
 
-    @stateful.rule(name=_NAME, server=strategies.integers(0, 2))
+    @stateful.rule(name=_NAME_STRATEGY, server=strategies.integers(0, 2))
     def run_poison(self, name, server):
         if self.fleet.running[name].admits(_POISON):
-            self.crashed += 1
-            self.remembered = 1 + (not self._is_expired()) * self.remembered
-            self.crashed_at = self.fleet.now
+            self.crash_count += 1
+            self.durable_crash_count = (
+                1 + (not self._is_expired()) * self.durable_crash_count
+            )
+            self.last_crash_at = self.fleet.now
             self._crash(name, _POISON, server)
         else:
-            assert self.crashed >= _MOST_CRASHES, self.crashed
+            assert self.crash_count >= _CRASH_LIMIT, self.crash_count
 
-    @stateful.rule(name=_NAME, number=_NUMBER)
-    def complete_innocent(self, name, number):
-        fingerprint = b'innocent-%d' % number
+    @stateful.rule(name=_NAME_STRATEGY, number=_NUMBER_STRATEGY)
+    def complete_harmless(self, name, number):
+        fingerprint = b'harmless-%d' % number
         assert self.fleet.running[name].admits(fingerprint), number
         self.fleet.running[name].exchange.complete(fingerprint)
-        self.completed[number] = name
+        self.completing_instances[number] = name
 
     @stateful.rule(
-        name=_NAME, number=_NUMBER, last_event=strategies.integers(0, 2)
+        name=_NAME_STRATEGY,
+        number=_NUMBER_STRATEGY,
+        last_event=strategies.integers(0, 2),
     )
-    def crash_under_innocent(self, name, number, last_event):
-        if self.coincidences[number] >= _MOST_COINCIDENCES:
+    def crash_under_harmless(self, name, number, last_event):
+        if self.coincidental_crashes[number] >= _MAX_COINCIDENTAL_CRASHES:
             return
-        fingerprint = b'innocent-%d' % number
+        fingerprint = b'harmless-%d' % number
         assert self.fleet.running[name].admits(fingerprint), number
-        self.coincidences[number] += 1
-        self.completed.pop(number, None)
+        self.coincidental_crashes[number] += 1
+        self.completing_instances.pop(number, None)
         self._crash(name, fingerprint, number, last_event=last_event)
 
-    @stateful.rule(name=_NAME)
+    @stateful.rule(name=_NAME_STRATEGY)
     def crash_under_popular(self, name):
-        """Servers go down together that all run a request of many callers."""
+        """Crash several servers that run the same request of many callers."""
         self.fleet.running[name].exchange.complete(_POPULAR)
         for server, other in enumerate(_NAMES):
             self._crash(other, _POPULAR, server)
-        if not self.fleet.cut:
+        if not self.fleet.partitioned:
             self.fleet.deliver()
             for instance in self.fleet.running.values():
                 assert instance.admits(_POPULAR), instance.name
@@ -269,27 +279,29 @@
     def deliver(self):
         self.fleet.deliver()
 
-    @stateful.rule(name=_NAME)
-    def cut(self, name):
-        self.fleet.cut.add(name)
+    @stateful.rule(name=_NAME_STRATEGY)
+    def cut_connections(self, name):
+        self.fleet.partitioned.add(name)
 
-    @stateful.rule(name=_NAME)
+    @stateful.rule(name=_NAME_STRATEGY)
     def restart(self, name):
-        if not self.heard:
-            # Crashes known only to this instance may be lost.
-            self.remembered = 0
-        for number, knowing in list(self.completed.items()):
-            if knowing == name:
-                del self.completed[number]
-        if name in self.fleet.cut:
-            self.unreached.add(name)
+        if not self.reported_to_all:
+            # Crashes that only this instance has recorded may be lost.
+            self.durable_crash_count = 0
+        for number, completing in list(self.completing_instances.items()):
+            if completing == name:
+                del self.completing_instances[number]
+        if name in self.fleet.partitioned:
+            self.unsynchronized.add(name)
         self.fleet.restart(name)
         self.fleet.deliver()
 
-    @stateful.precondition(lambda self: self.heard and self.fleet.holds_poison)
+    @stateful.precondition(
+        lambda self: self.reported_to_all and self.fleet.stores_poison
+    )
     @stateful.rule()
     def restart_all(self):
-        """All lose their memory at once; the store holds what must last."""
+        """Restart all instances at once, so that only the store has state."""
         for name in _NAMES:
             self.fleet.running[name] = Instance(self.fleet, name)
         for instance in self.fleet.running.values():
@@ -300,34 +312,35 @@
         self.fleet.store.down = down
 
     @stateful.rule()
-    def settle(self):
-        self.fleet.settle()
-        self.unreached.clear()
-        for number in self.completed:
-            self.coincidences[number] = 0
-        self.completed.clear()
+    def synchronize_all(self):
+        self.fleet.synchronize_all()
+        self.unsynchronized.clear()
+        for number in self.completing_instances:
+            self.coincidental_crashes[number] = 0
+        self.completing_instances.clear()
         if not self._is_expired():
-            self.heard |= self.remembered >= _MOST_CRASHES
-        if self.heard:
+            self.reported_to_all |= self.durable_crash_count >= _CRASH_LIMIT
+        if self.reported_to_all:
             self._check_stored()
 
     def _check_stored(self):
-        """Check that the store holds it, once it was refused for a while."""
-        self.refused_everywhere()
+        """Check that the poison request is stored after repeated refusals."""
+        self.check_poison_refused()
         self.fleet.now += 10.0
-        self.refused_everywhere()
-        self.fleet.settle()
-        assert self.fleet.holds_poison
+        self.check_poison_refused()
+        self.fleet.synchronize_all()
+        assert self.fleet.stores_poison
 
     def _is_expired(self):
-        # An instance that knows only of the first crash drops it earlier.
-        since = self.fleet.now - self.crashed_at
+        # An instance that has recorded only the first crash removes it before
+        # KEEP_SECONDS have passed since the last crash.
+        since = self.fleet.now - self.last_crash_at
         return since >= quarantine.KEEP_SECONDS / 5
 
     @stateful.invariant()
-    def refused_everywhere(self):
-        if not self.heard:
+    def check_poison_refused(self):
+        if not self.reported_to_all:
             return
         for instance in self.fleet.running.values():
-            if instance.name not in self.unreached:
+            if instance.name not in self.unsynchronized:
                 assert not instance.admits(_POISON), instance.name
