--- a/src/amaranthslip/requests/claims.py
+++ b/src/amaranthslip/requests/claims.py
@@ -189,7 +189,8 @@
         try:
             result = self._obtain_result(request)
         except BaseException:
-            # The caller left while it waited, so its request never runs.
+            # The wait was aborted, for example because the caller left. The
+            # request will never run.
             self._settlements.withdraw(request.key_hash, request.claim_id)
             raise
         self._metrics.count('claims', result.name.lower())
--- a/src/amaranthslip/requests/crash_exchange.py
+++ b/src/amaranthslip/requests/crash_exchange.py
@@ -47,9 +47,10 @@
 class CrashExchange:
     """Shares crash reports, and refuses quarantined requests.
 
-    Each report is sent to every member: crashes are rare, and each instance
-    must know of a quarantined request before the request reaches it. Members
-    that were unreachable get the latest reports on their next connection.
+    Each report is sent to every member, because every instance must have the
+    reports of a quarantined request before it receives that request. The cost
+    is low because crashes are rare. Members that were unreachable get the
+    latest reports on their next connection.
 
     Parameters
     ----------
--- a/src/amaranthslip/requests/prompts.py
+++ b/src/amaranthslip/requests/prompts.py
@@ -70,7 +70,7 @@
 
     @property
     def chain(self) -> tuple[str, ...]:
-        """One key for each part, which identifies the prefix that it ends.
+        """One key for each part, which identifies the prefix up to it.
 
         The key covers the part and all parts before it, because an engine can
         use a cached part only if it has cached all parts before it.
