--- a/src/amaranthslip/capacity/__init__.py
+++ b/src/amaranthslip/capacity/__init__.py
@@ -1,4 +1,4 @@
-"""Capacity: backend servers, their slots, limits and health."""
+"""Backend servers: their slots, concurrency limits, load and health."""
 
 from amaranthslip.capacity.health import Health
 from amaranthslip.capacity.limits import Limit
--- a/src/amaranthslip/capacity/directory.py
+++ b/src/amaranthslip/capacity/directory.py
@@ -1,4 +1,4 @@
-"""The directory: which backend servers there are, as they registered."""
+"""Directory of the backend servers, built from their registry entries."""
 
 import collections
 import logging
@@ -9,29 +9,31 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Seconds that a server whose entry lapsed around an outage of the registry
-# stays in use after the registry is back. The platform promises that living
-# servers are back within about two seconds; and a server that has really
-# left must get no request two seconds after its entry went.
+# Grace period, in seconds, after the registry recovers from an outage: a
+# server whose entry is missing stays in use for this long. The platform
+# guarantees that running servers register again within about two seconds,
+# and a server that has really left must get no request more than two seconds
+# after its entry was removed.
 MISSING_SECONDS = 1.8
-# Limits the memory for incarnations that reported that they are leaving.
-_MOST_REPORTED_LEAVING = 4096
-# Seconds: limits the backoff that one answer can set.
-_MOST_BACKOFF_SECONDS = 86400.0
+# Bounds the memory used for incarnations that reported that they are leaving.
+_MAX_REPORTED_LEAVING = 4096
+# Upper bound, in seconds, of the backoff that one response can set.
+_MAX_BACKOFF_SECONDS = 86400.0
 
 
 class Directory:
     """The backend servers of every service, by name.
 
-    A server whose entry is gone is out at once, unless the registry was out
-    of reach: entries also lapse because their servers could not renew them,
-    and dropping every server on the registry's return would refuse all
-    requests although nothing is wrong with the servers.
+    A server whose entry was removed is dropped at once, except after a
+    registry outage. During an outage entries also expire because their
+    servers could not renew them; dropping all of these servers when the
+    registry recovers would refuse every request although the servers are
+    healthy.
 
     Parameters
     ----------
     clock : callable
-        Seconds that only grow.
+        Returns monotonic time in seconds.
     """
 
     __slots__ = (
@@ -39,8 +41,8 @@
         '_clock',
         '_servers',
         '_by_service',
-        '_missing',
-        '_lapses_until',
+        '_missing_until',
+        '_grace_until',
         '_reported_leaving',
         '_backoffs',
     )
@@ -52,56 +54,57 @@
         self._clock = clock
         self._servers: dict[str, document.ListedServer] = {}
         self._by_service: dict[str, tuple[document.ListedServer, ...]] = {}
-        # Server name: when it is taken as gone.
-        self._missing: dict[str, float] = {}
-        self._lapses_until = float('-inf')
-        # Incarnations whose answers reported that they are leaving, oldest
+        # Server name: time at which the server is dropped.
+        self._missing_until: dict[str, float] = {}
+        self._grace_until = float('-inf')
+        # Incarnations whose responses reported that they are leaving, oldest
         # first.
         self._reported_leaving: collections.OrderedDict[
             tuple[str, int], None
         ] = collections.OrderedDict()
-        # (Server name, incarnation): when its backoff ends.
+        # (Server name, incarnation): time at which the backoff ends.
         self._backoffs: dict[tuple[str, int], float] = {}
 
     def __len__(self) -> int:
         return len(self._servers)
 
     def get(self, name: str) -> document.ListedServer | None:
-        """Return a server, also one that is leaving."""
-        self._drop_missing()
+        """Return a server by name, even if it is leaving, or None."""
+        self._delete_missing()
         return self._servers.get(name)
 
     def list_ready(self, service: str) -> tuple[document.ListedServer, ...]:
-        """Return a service's servers that may get new requests."""
-        self._drop_missing()
+        """Return the servers of a service that may get new requests."""
+        self._delete_missing()
         return self._by_service.get(service, ())
 
     def list_all(self) -> list[document.ListedServer]:
         """Return every server, sorted by name."""
-        self._drop_missing()
+        self._delete_missing()
         return [self._servers[name] for name in sorted(self._servers)]
 
     def note_return(self, seconds: float = MISSING_SECONDS) -> None:
-        """Say that the registry answers again after an outage.
+        """Start the grace period because the registry recovered.
 
         Parameters
         ----------
         seconds : float
-            How long servers whose entry is missing stay in use: less, where
-            another instance saw the return a moment ago.
+            Length of the grace period, in which servers with a missing entry
+            stay in use. Shorter than the default if another instance already
+            detected the recovery a moment ago.
         """
-        self._lapses_until = max(self._lapses_until, self._clock() + seconds)
+        self._grace_until = max(self._grace_until, self._clock() + seconds)
 
     @property
     def lapse_seconds(self) -> float:
-        """Seconds for which servers whose entry is missing stay in use."""
-        return max(0.0, self._lapses_until - self._clock())
+        """Seconds that remain of the grace period, or 0."""
+        return max(0.0, self._grace_until - self._clock())
 
     def put(self, server: document.ListedServer) -> None:
-        """Take a server's entry."""
-        self._mark_reported_leaving(server)
+        """Add or update a server from its registry entry."""
+        self._apply_reported_leaving(server)
         known = self._servers.get(server.name)
-        self._missing.pop(server.name, None)
+        self._missing_until.pop(server.name, None)
         self._servers[server.name] = server
         if known is None or _differs(known, server):
             _LOG.info(
@@ -116,26 +119,30 @@
             self._rebuild()
 
     def remove(self, name: str) -> None:
-        """Take it that a server's entry is gone, or can't be read."""
+        """Handle an entry that was removed or can't be parsed.
+
+        During the grace period the server stays in use until the period ends;
+        otherwise the server is dropped at once.
+        """
         if name not in self._servers:
             return
         now = self._clock()
-        if now < self._lapses_until:
-            self._missing.setdefault(name, self._lapses_until)
+        if now < self._grace_until:
+            self._missing_until.setdefault(name, self._grace_until)
             return
-        self._forget(name, 'entry_gone')
+        self._delete(name, 'entry_gone')
 
     def note_leaving(self, server: document.ListedServer) -> None:
-        """Exclude a server whose answer reported that it is leaving.
+        """Exclude a server whose response reported that it is leaving.
 
-        This incarnation stays excluded whatever state its entry has: the
-        entry may be stale, as during a registry outage.
+        This incarnation stays excluded whatever its registry entry says: the
+        entry may be stale, for example during a registry outage.
         """
         key = (server.name, server.incarnation)
         if key in self._reported_leaving:
             return
         self._reported_leaving[key] = None
-        while len(self._reported_leaving) > _MOST_REPORTED_LEAVING:
+        while len(self._reported_leaving) > _MAX_REPORTED_LEAVING:
             self._reported_leaving.popitem(last=False)
         listed = self._servers.get(server.name)
         _LOG.info(
@@ -148,7 +155,7 @@
             },
         )
         if listed is not None:
-            self._mark_reported_leaving(listed)
+            self._apply_reported_leaving(listed)
             self._rebuild()
 
     def note_backoff(
@@ -156,11 +163,11 @@
     ) -> None:
         """Exclude a server for the duration of its Retry-After.
 
-        The backoff applies to this incarnation, also after its entry lapses.
-        Later answers can extend it, but not shorten or end it.
+        The backoff applies to this incarnation, even after its entry expires.
+        Later responses can extend the backoff, but not shorten or end it.
         """
         now = self._clock()
-        until = now + min(seconds, _MOST_BACKOFF_SECONDS)
+        until = now + min(seconds, _MAX_BACKOFF_SECONDS)
         if until <= now + self.read_backoff(server):
             return
         self._backoffs = {
@@ -183,31 +190,31 @@
             return 0.0
         return max(0.0, until - self._clock())
 
-    def _mark_reported_leaving(self, server: document.ListedServer) -> None:
+    def _apply_reported_leaving(self, server: document.ListedServer) -> None:
         if (server.name, server.incarnation) in self._reported_leaving:
             server.leaving = True
 
     def replace(self, servers: typing.Iterable[document.ListedServer]) -> None:
-        """Take all entries at once, after changes were missed."""
+        """Replace all entries, after change events were missed."""
         listed = {each.name: each for each in servers}
         for name in self._servers.keys() - listed.keys():
             self.remove(name)
         for server in listed.values():
             self.put(server)
 
-    def _drop_missing(self) -> None:
-        if not self._missing:
+    def _delete_missing(self) -> None:
+        if not self._missing_until:
             return
         now = self._clock()
-        for name, until in list(self._missing.items()):
+        for name, until in list(self._missing_until.items()):
             if now >= until:
-                self._forget(name, 'missing_after_outage')
+                self._delete(name, 'missing_after_outage')
 
-    def _forget(self, name: str, reason: str) -> None:
-        self._missing.pop(name, None)
+    def _delete(self, name: str, reason: str) -> None:
+        self._missing_until.pop(name, None)
         del self._servers[name]
-        # Incarnation 0 means unknown: a restart under the same name could not
-        # be distinguished from the server that left.
+        # Incarnation 0 means unknown: a server that restarts under this name
+        # could not be told apart from the server that left.
         self._reported_leaving.pop((name, 0), None)
         self._backoffs.pop((name, 0), None)
         _LOG.info(
--- a/src/amaranthslip/capacity/engines.py
+++ b/src/amaranthslip/capacity/engines.py
@@ -1,4 +1,4 @@
-"""What this instance knows of each backend server's load."""
+"""Load of each backend server, as known to this instance."""
 
 import time
 import typing
@@ -8,21 +8,23 @@
 from amaranthslip.capacity import reading
 from amaranthslip.configuration import document
 
-# Seconds for which a server that had no room gets nothing from here: about
-# the time in which one of its requests ends.
-_FULL_SECONDS = 0.05
-# Seconds that a stream is taken to run before any has ended here.
-_FIRST_RUN_SECONDS = 1.3
-# What one stream that ended counts for in the mean, of one.
-_RUN_GAIN = 0.03
+# Seconds for which this instance sends nothing to a server that rejected a
+# request as full: about the time in which one of its requests ends.
+_FULL_PAUSE_SECONDS = 0.05
+# Assumed duration of a stream in seconds, until the first stream of the
+# service has ended at this instance.
+_INITIAL_STREAM_SECONDS = 1.3
+# Weight of one finished stream in the moving average of stream durations.
+_STREAM_SECONDS_GAIN = 0.03
 
 
 class Engine:
-    """One backend server as this instance sees it.
+    """Load of one backend server, as known to this instance.
 
-    `running` are this instance's requests in progress there and `held` the
-    tokens that they take of its memory; `others_running` and `others_held`
-    what the other instances have there, as far as is known.
+    `running` is the number of this instance's requests in progress on the
+    server, and `held` the number of tokens of server memory that they occupy.
+    `others_running` and `others_held` are the last known values for all other
+    instances together.
     """
 
     __slots__ = (
@@ -48,26 +50,27 @@
 
     @property
     def all_running(self) -> int:
-        """Requests in progress there, from all instances."""
+        """Requests in progress on the server, from all instances."""
         return self.running + self.others_running
 
     @property
     def all_held(self) -> int:
-        """Tokens of memory in use there, from all instances."""
+        """Tokens of server memory in use, by all instances."""
         return self.held + self.others_held
 
 
 class Engines:
-    """The engines of the directory, each with its load.
+    """The backend servers of the directory, each with its load.
 
     Parameters
     ----------
     directory : Directory
-        Which backend servers there are.
+        Lists the backend servers.
     outliers : Outliers
-        Forgets servers that are gone.
+        Its record of a server is dropped when the server is removed or
+        restarts.
     clock : callable
-        Seconds that only grow.
+        Returns monotonic time in seconds.
     """
 
     __slots__ = (
@@ -77,7 +80,7 @@
         '_engines',
         '_ready',
         '_generation',
-        '_run_seconds',
+        '_mean_stream_seconds',
     )
 
     def __init__(
@@ -93,19 +96,24 @@
         self._engines: dict[str, Engine] = {}
         self._ready: dict[str, tuple[Engine, ...]] = {}
         self._generation = -1
-        # By service: how long its streams run, from first event to end.
-        self._run_seconds: dict[str, float] = {}
+        # Service: moving average of the seconds from first event to end of a
+        # stream.
+        self._mean_stream_seconds: dict[str, float] = {}
 
     @property
     def generation(self) -> int:
-        """Grows whenever engines come, go, restart or begin to leave."""
-        self._follow()
+        """Counter that grows whenever the directory changes.
+
+        Servers that are added, removed, restarted or start to leave count as
+        changes.
+        """
+        self._sync_directory()
         return self._generation
 
     def list_ready(self, service: str) -> tuple[Engine, ...]:
-        """Return a service's engines that may get new requests."""
+        """Return the engines of a service that may get new requests."""
         servers = self._directory.list_ready(service)
-        self._follow()
+        self._sync_directory()
         ready = self._ready.get(service)
         if ready is None:
             ready = tuple(self._engines[each.name] for each in servers)
@@ -113,13 +121,13 @@
         return ready
 
     def get(self, name: str) -> Engine | None:
-        """Return an engine by its server's name."""
-        self._follow()
+        """Return an engine by the name of its server, or None."""
+        self._sync_directory()
         return self._engines.get(name)
 
     def list_all(self) -> list[Engine]:
         """Return every engine."""
-        self._follow()
+        self._sync_directory()
         return list(self._engines.values())
 
     def read_backoff(self, engine: Engine) -> float:
@@ -127,37 +135,39 @@
         return self._directory.read_backoff(engine.server)
 
     def note_full(self, engine: Engine) -> None:
-        """Take it that a server had no room for a request."""
-        engine.full_until = self._clock() + _FULL_SECONDS
+        """Record that a server rejected a request because it was full."""
+        engine.full_until = self._clock() + _FULL_PAUSE_SECONDS
 
     def note_run(self, engine: Engine, seconds: float) -> None:
-        """Take it that a stream ran for so long, from its first event on."""
+        """Record the seconds from the first event to the end of a stream."""
         service = engine.server.service
-        mean = self._run_seconds.get(service, _FIRST_RUN_SECONDS)
-        self._run_seconds[service] = mean + _RUN_GAIN * (seconds - mean)
+        mean = self._mean_stream_seconds.get(service, _INITIAL_STREAM_SECONDS)
+        self._mean_stream_seconds[service] = mean + _STREAM_SECONDS_GAIN * (
+            seconds - mean
+        )
 
     def read_slot_seconds(self, engine: Engine) -> float:
-        """Return how long it takes until a slot of a full engine is free.
+        """Return the mean seconds until a full engine frees one slot.
 
-        Engines of few slots make each request that is too many wait longer:
-        where a dozen are shared, a queue of four is late already.
+        The fewer slots an engine has, the longer each excess request waits:
+        with a dozen slots, the fourth request in the queue is already late.
         """
         service = engine.server.service
-        mean = self._run_seconds.get(service, _FIRST_RUN_SECONDS)
+        mean = self._mean_stream_seconds.get(service, _INITIAL_STREAM_SECONDS)
         return mean / max(1, engine.server.slots)
 
     def read_slot_wait(self, engine: Engine, running: int) -> float:
-        """Return how long a request waits for a slot, in seconds.
+        """Return the expected seconds that a request waits for a slot.
 
         Parameters
         ----------
         running : int
-            Requests in progress there besides.
+            Other requests in progress on the engine.
         """
         excess = running + 1 - engine.server.slots
         return max(0, excess) * self.read_slot_seconds(engine)
 
-    def _follow(self) -> None:
+    def _sync_directory(self) -> None:
         if self._generation == self._directory.generation:
             return
         self._generation = self._directory.generation
@@ -176,5 +186,6 @@
 
 
 def _restarted(old: document.ListedServer, new: document.ListedServer) -> bool:
-    # What it held and what was under way there died with its old start.
+    # A restart loses the cache and all requests in progress, so the recorded
+    # load of the old process is discarded.
     return old.incarnation != new.incarnation or old.address != new.address
--- a/src/amaranthslip/capacity/health.py
+++ b/src/amaranthslip/capacity/health.py
@@ -1,4 +1,4 @@
-"""Health: which backend servers may get requests, from how theirs ended."""
+"""Ejects and admits backend servers by the outcomes of their requests."""
 
 import enum
 import random as random_
@@ -9,15 +9,16 @@
 from amaranthslip.requests import outcomes
 from amaranthslip import settings as settings_
 
-# Failures in a row, with no success between, that eject a server. One may
-# be the request's own fault; three in a row of healthy servers are rare.
-_FAILURES = 3
-# Each ejection is drawn between this fraction and the whole of its time, so
-# that instances don't all probe a server that comes back at one moment.
-_LEAST_FRACTION = 0.5
-# Seconds after which an unanswered probe no longer holds the place of the
-# next: its request may have been lost with the instance that sent it.
-_PROBE_SECONDS = 60.0
+# Consecutive failures that eject a server. A single failure may be caused by
+# the request itself; three in a row are rare on a healthy server.
+_CONSECUTIVE_FAILURES = 3
+# Jitter: the duration of an ejection is drawn between this fraction of the
+# nominal duration and the full duration, so that the instances don't all
+# probe a recovering server at the same moment.
+_MIN_DURATION_FRACTION = 0.5
+# Seconds after which an unanswered probe no longer blocks the next one: its
+# request may have been lost with the instance that sent it.
+_PROBE_TIMEOUT_SECONDS = 60.0
 
 
 class _State(enum.Enum):
@@ -26,7 +27,7 @@
 
 
 class _Server:
-    """What is known of one backend server."""
+    """Ejection state of one backend server."""
 
     __slots__ = ('state', 'failures', 'ejections', 'until', 'probe_since')
 
@@ -39,18 +40,18 @@
 
 
 class Health:
-    """Ejects backend servers that fail; single probes bring them back.
+    """Ejects failing backend servers; a successful probe admits them again.
 
     Parameters
     ----------
     settings : Settings
         `backends.eject_seconds`, `eject_most_seconds`, `eject_fraction`.
     metrics : Metrics
-        Gets `ejections` by reason.
+        Counts `ejections` by reason.
     random : random.Random
-        Jitter of the ejections' times.
+        Source of the jitter of the ejection durations.
     clock : callable
-        Seconds that only grow.
+        Returns monotonic time in seconds.
     """
 
     __slots__ = (
@@ -78,13 +79,14 @@
         self._services: list[frozenset[str]] = []
 
     def set_service(self, server_names: typing.Iterable[str]) -> None:
-        """Say which servers make up one service.
+        """Set the servers that make up one service.
 
         Parameters
         ----------
         server_names : iterable of str
-            All of them. They replace every earlier set that shares a server
-            with them; what is known of servers that drop out is forgotten.
+            All servers of the service. The set replaces every earlier set
+            that has a server in common with it. The state of servers that
+            only the replaced sets contain is dropped.
         """
         names = frozenset(server_names)
         replaced = [each for each in self._services if each & names]
@@ -99,8 +101,8 @@
     def admits(self, server_name: str) -> bool:
         """Return whether the server may get a request now.
 
-        After its ejection a server is half open: it may get one request at
-        a time, the probe, until one succeeds.
+        After its ejection a server is half open: it gets one request at a
+        time, the probe, until a probe succeeds.
         """
         server = self._servers.get(server_name)
         if server is None or server.state is _State.ADMITTED:
@@ -109,16 +111,16 @@
         if now < server.until:
             return False
         since = server.probe_since
-        return since is None or now - since >= _PROBE_SECONDS
+        return since is None or now - since >= _PROBE_TIMEOUT_SECONDS
 
     def begin(self, server_name: str) -> None:
-        """Take note that a request was granted."""
+        """Record a granted request; on an ejected server it is the probe."""
         server = self._servers.get(server_name)
         if server is not None and server.state is _State.EJECTED:
             server.probe_since = self._clock()
 
     def record(self, server_name: str, outcome: outcomes.Outcome) -> None:
-        """Take note of how a granted request ended."""
+        """Record the outcome of a granted request."""
         server = self._servers.get(server_name)
         if server is None:
             return
@@ -127,8 +129,8 @@
         elif outcome is outcomes.Outcome.DONE:
             self._record_success(server)
         else:
-            # It says nothing about the server, and the probe's place is
-            # free for the next.
+            # This outcome says nothing about the server, so the next request
+            # may be the probe.
             server.probe_since = None
 
     def _record_success(self, server: _Server) -> None:
@@ -137,7 +139,8 @@
             server.ejections = 0
             return
         if server.probe_since is None:
-            # It was granted before the ejection: old news.
+            # The request was granted before the ejection, so its outcome says
+            # nothing about the present state of the server.
             return
         server.state = _State.ADMITTED
         server.probe_since = None
@@ -149,16 +152,16 @@
             if server.probe_since is not None:
                 self._eject(server, 'probe_failed')
             return
-        if server.failures < _FAILURES:
+        if server.failures < _CONSECUTIVE_FAILURES:
             return
-        if self._is_room(name):
+        if self._may_eject(name):
             self._eject(server, 'failures')
         else:
             self._metrics.count('ejections', 'denied_fraction')
 
-    def _is_room(self, name: str) -> bool:
-        # When most of a service fails, the cause is seldom in its servers,
-        # and those left would break under the load of all.
+    def _may_eject(self, name: str) -> bool:
+        # When most servers of a service fail, the cause is seldom the servers
+        # themselves, and the remaining servers would be overloaded.
         for names in self._services:
             if name not in names:
                 continue
@@ -176,7 +179,7 @@
             backends.eject_seconds * 2.0**server.ejections,
             backends.eject_most_seconds,
         )
-        fraction = self._random.uniform(_LEAST_FRACTION, 1.0)
+        fraction = self._random.uniform(_MIN_DURATION_FRACTION, 1.0)
         server.state = _State.EJECTED
         server.until = self._clock() + seconds * fraction
         server.ejections = min(server.ejections + 1, 32)
--- a/src/amaranthslip/capacity/limits.py
+++ b/src/amaranthslip/capacity/limits.py
@@ -1,67 +1,84 @@
-"""The discovered limit: how many requests a backend server really batches."""
+"""Adaptive concurrency limit of one backend server."""
 
-# A limit grows by one for each report that shows it full and nothing
-# waiting, and falls to what runs when the server queues twice in a row: one
-# report may have caught requests between arrival and their first batch.
+# The limit grows by one after _FULL_REPORTS reports of a server that runs as
+# many requests as the limit allows and queues none. It falls to the number of
+# running requests after _QUEUEING_REPORTS consecutive reports with a queue: a
+# single report may show requests between their arrival and their first batch.
 _QUEUEING_REPORTS = 2
 _FULL_REPORTS = 3
-# The users' target: 57 ms between tokens for 95 in 100. A mean beyond it
-# says that the batch is too large for this server.
+# Service level objective: 57 ms between tokens at the 95th percentile. A mean
+# above this value shows that the batch is too large for the server.
 PACE_TARGET_SECONDS = 0.057
-_PACE_RATE = 0.1
-_PACE_CUT = 0.9
+_PACE_GAIN = 0.1
+_PACE_DECREASE = 0.9
 _PACE_REPORTS = 5
 
 
 class Limit:
-    """How many requests one backend server gets at once.
+    """Limit on the concurrent requests of one backend server.
 
     Parameters
     ----------
     slots : int
-        The configured limit: the most that discovery ever allows.
+        The configured limit, an upper bound of the adaptive limit.
     """
 
-    __slots__ = ('slots', 'value', '_queueing', '_full', '_pace', '_paces')
+    __slots__ = (
+        'slots',
+        'value',
+        '_queueing_reports',
+        '_full_reports',
+        '_pace',
+        '_pace_samples',
+    )
 
     def __init__(self, slots: int) -> None:
         self.slots = slots
         self.value = slots
-        self._queueing = 0
-        self._full = 0
+        self._queueing_reports = 0
+        self._full_reports = 0
         self._pace = 0.0
-        self._paces = 0
+        self._pace_samples = 0
 
     def configure(self, slots: int) -> None:
-        """Take a changed configured limit; discovery starts anew."""
+        """Set the configured limit; a change resets the adaptive limit."""
         if slots != self.slots:
             self.slots = self.value = slots
 
     def observe_load(self, *, running: int, waiting: int) -> None:
-        """Take one load report of a server that only this fleet loads."""
+        """Adjust the limit to one load report.
+
+        All load that the report shows must come from this fleet.
+        """
         if waiting > 0:
-            self._queueing += 1
-            self._full = 0
+            self._queueing_reports += 1
+            self._full_reports = 0
         else:
-            self._queueing = 0
-            self._full += 1 if running >= self.value else 0
-        if self._queueing >= _QUEUEING_REPORTS:
+            self._queueing_reports = 0
+            self._full_reports += 1 if running >= self.value else 0
+        if self._queueing_reports >= _QUEUEING_REPORTS:
             self.value = max(1, min(self.value, running))
-            self._queueing = 0
-        elif self._full >= _FULL_REPORTS:
+            self._queueing_reports = 0
+        elif self._full_reports >= _FULL_REPORTS:
             self._grow()
 
     def observe_pace(self, seconds: float) -> None:
-        """Take one finished stream's mean time between tokens, in seconds."""
-        self._pace += _PACE_RATE * (seconds - self._pace)
-        self._paces += 1
-        if self._paces < _PACE_REPORTS * max(1, self.value):
+        """Adjust the limit to the mean inter-token time of a finished stream.
+
+        Parameters
+        ----------
+        seconds : float
+            Mean time between tokens.
+        """
+        self._pace += _PACE_GAIN * (seconds - self._pace)
+        self._pace_samples += 1
+        if self._pace_samples < _PACE_REPORTS * max(1, self.value):
             return
-        self._paces = 0
+        self._pace_samples = 0
         if self._pace > PACE_TARGET_SECONDS:
-            self.value = max(1, int(self.value * _PACE_CUT))
+            self.value = max(1, int(self.value * _PACE_DECREASE))
 
     def _grow(self) -> None:
-        self._full = 0
-        if self._pace <= PACE_TARGET_SECONDS * _PACE_CUT:
+        self._full_reports = 0
+        if self._pace <= PACE_TARGET_SECONDS * _PACE_DECREASE:
             self.value = min(self.slots, self.value + 1)
--- a/src/amaranthslip/capacity/loads.py
+++ b/src/amaranthslip/capacity/loads.py
@@ -1,4 +1,4 @@
-"""Loads: what a backend server last said of itself."""
+"""Load reports of backend servers."""
 
 
 class LoadReport:
@@ -9,12 +9,13 @@
     server : str
         The backend server's name.
     running, waiting : int
-        Requests in its batch, and those it holds back.
+        Requests in the current batch of the server, and requests in its
+        queue.
     cache_usage : float
-        Fraction of its cache in use, 0 to 1.
+        Fraction of the server's cache in use, 0 to 1.
     at : float
-        `time.monotonic()` seconds when it was read; what it tells is older
-        by the server's own lag.
+        `time.monotonic()` seconds when the report was read. The values are
+        older than that by the delay of the server's own metrics.
     """
 
     __slots__ = ('server', 'running', 'waiting', 'cache_usage', 'at')
--- a/src/amaranthslip/capacity/outliers.py
+++ b/src/amaranthslip/capacity/outliers.py
@@ -1,7 +1,8 @@
-"""Outliers: backend servers that fail more requests than the others.
+"""Ejects backend servers that fail more requests than their peers.
 
-A server's health check may be good while its answers fail, so only answers
-count, those that other instances got among them.
+A server may pass its health check and still fail requests, so servers are
+judged by the responses to requests only. Responses that other instances
+received are included.
 """
 
 import collections
@@ -11,68 +12,74 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Seconds that counts are kept, in so many buckets. At 2 answers a second of
-# one server, all instances together, ten answers judge it.
+# Length in seconds of the sliding window of successes and failures, and its
+# number of buckets. A server that sends 2 responses a second to all instances
+# together is judged by ten responses.
 _WINDOW_SECONDS = 5.0
 _BUCKETS = 10
-# A server is out if it failed this many requests in the window, and this
-# much more often than its service's other servers: where all fail, as in a
-# bad release, ejecting would only take capacity.
-_LEAST_FAILURES = 3
-_EXCESS_RATIO = 0.25
-# Or if it failed so many in a row, whoever sent them, while the others were
-# fine: one that went dark has a window full of successes behind it.
-_STREAK = 4
-# So many failures to connect in a row: nothing listens, or it is cut off.
+# A server is ejected if at least this many of its requests in the window
+# failed and its failure ratio exceeds that of the other servers of the service
+# by this much. When all servers fail, as after a bad release, ejecting some of
+# them would only reduce the capacity.
+_MIN_FAILURES = 3
+_EXCESS_FAILURE_RATIO = 0.25
+# A server is also ejected after this many consecutive failures, from all
+# instances together, while the failure ratio of its peers is low: for a server
+# that stops answering, earlier successes in the window hide the failures.
+_CONSECUTIVE_FAILURES = 4
+# Failed connection attempts, with no success between, that eject a server:
+# either nothing listens at its address or the network is partitioned.
 _CONNECT_FAILURES = 2
-# Seconds out: doubled each time up to the most. Half open afterwards: one
-# request at a time, until two succeeded.
-_FIRST_SECONDS = 1.0
-_MOST_SECONDS = 8.0
-_PROBES = 2
-_PROBE_SECONDS = 1.0
-# Of a service, at most this fraction is out.
-_MOST_FRACTION = 0.5
+# Duration in seconds of the first ejection; each further one lasts twice as
+# long, up to the maximum. After the ejection a server is half open: it gets
+# one request at a time until _PROBES_TO_ADMIT requests have succeeded. A probe
+# that has no outcome yet blocks the next one for _PROBE_TIMEOUT_SECONDS.
+_FIRST_EJECTION_SECONDS = 1.0
+_MAX_EJECTION_SECONDS = 8.0
+_PROBES_TO_ADMIT = 2
+_PROBE_TIMEOUT_SECONDS = 1.0
+# Largest fraction of the servers of a service that may be ejected at once.
+_MAX_EJECTED_FRACTION = 0.5
 
 
 class _Record:
-    """One server's counts and state."""
+    """Request counts and ejection state of one server."""
 
     __slots__ = (
         'service',
         'buckets',
-        'unreachable',
-        'streak',
+        'connect_failures',
+        'consecutive_failures',
         'ejections',
-        'until',
-        'probes',
-        'probing_since',
+        'ejected_until',
+        'probe_successes',
+        'probe_since',
     )
 
     def __init__(self, service: str) -> None:
         self.service = service
-        # Bucket number, successes, failures.
+        # Each bucket: its number, successes, failures.
         self.buckets: collections.deque[list[float]] = collections.deque(
             maxlen=_BUCKETS
         )
-        self.unreachable = 0
-        self.streak = 0
+        self.connect_failures = 0
+        self.consecutive_failures = 0
         self.ejections = 0
-        # None: admitted; else the end of the ejection.
-        self.until: float | None = None
-        self.probes = 0
-        self.probing_since = float('-inf')
+        # End of the ejection, or None while the server is admitted.
+        self.ejected_until: float | None = None
+        self.probe_successes = 0
+        self.probe_since = float('-inf')
 
 
 class Outliers:
-    """Says which backend servers get no requests for a while.
+    """Decides which backend servers are temporarily excluded from requests.
 
     Parameters
     ----------
     metrics : object
-        `count(name, label)`; gets `ejections` by reason.
+        Has a method `count(name, label)`; counts `ejections` by reason.
     clock : callable
-        Seconds that only grow.
+        Returns monotonic time in seconds.
     """
 
     __slots__ = ('_metrics', '_clock', '_records')
@@ -88,38 +95,41 @@
         self._records: dict[str, _Record] = {}
 
     def forget(self, server: str) -> None:
-        """Forget a server that is gone or has restarted."""
+        """Delete the record of a server that was removed or restarted."""
         self._records.pop(server, None)
 
     def admits(self, server: str) -> bool:
         """Return whether a server may get a request now."""
         record = self._records.get(server)
-        if record is None or record.until is None:
+        if record is None or record.ejected_until is None:
             return True
         now = self._clock()
         return (
-            now >= record.until
-            and now - record.probing_since >= _PROBE_SECONDS
+            now >= record.ejected_until
+            and now - record.probe_since >= _PROBE_TIMEOUT_SECONDS
         )
 
     def begin(self, server: str) -> None:
-        """Take note that a request goes there: a probe, if it was out."""
+        """Record a request sent; on an ejected server it is a probe."""
         record = self._records.get(server)
-        if record is not None and record.until is not None:
-            record.probing_since = self._clock()
+        if record is not None and record.ejected_until is not None:
+            record.probe_since = self._clock()
 
     def note_success(self, server: str, service: str) -> None:
-        """Count an answer that was good."""
-        record = self._find(server, service)
-        record.unreachable = 0
-        record.streak = 0
-        self._bucket(record)[1] += 1
-        if record.until is None:
+        """Count a successful response; enough probes readmit the server."""
+        record = self._get_record(server, service)
+        record.connect_failures = 0
+        record.consecutive_failures = 0
+        self._current_bucket(record)[1] += 1
+        if record.ejected_until is None:
             return
-        record.probing_since = float('-inf')
-        record.probes += 1
-        if record.probes >= _PROBES and self._clock() >= record.until:
-            record.until = None
+        record.probe_since = float('-inf')
+        record.probe_successes += 1
+        if (
+            record.probe_successes >= _PROBES_TO_ADMIT
+            and self._clock() >= record.ejected_until
+        ):
+            record.ejected_until = None
             record.buckets.clear()
             self._metrics.count('ejections', 'probe_succeeded')
             _LOG.info('backend_server_admitted', extra={'server': server})
@@ -131,82 +141,92 @@
         *,
         connected: bool = True,
     ) -> float:
-        """Count a request that failed there.
+        """Count a failed request, and eject the server if it is an outlier.
 
         Parameters
         ----------
         connected : bool
-            Whether there was a connection at all.
+            Whether the connection to the server was established.
 
         Returns
         -------
         float
-            Seconds for which the server is out from now on, because of
-            this one; 0: it is in, or was out already.
+            Duration in seconds of the ejection that this failure caused, or
+            0 if the server stays admitted or was ejected already.
         """
-        record = self._find(server, service)
-        self._bucket(record)[2] += 1
-        record.streak += 1
+        record = self._get_record(server, service)
+        self._current_bucket(record)[2] += 1
+        record.consecutive_failures += 1
         if not connected:
-            record.unreachable += 1
+            record.connect_failures += 1
         now = self._clock()
-        if record.until is not None:
-            if now >= record.until:
+        if record.ejected_until is not None:
+            if now >= record.ejected_until:
                 return self._eject(server, record, 'probe_failed')
             return 0.0
-        if record.unreachable >= _CONNECT_FAILURES:
+        if record.connect_failures >= _CONNECT_FAILURES:
             return self._eject(server, record, 'unreachable')
-        if self._stands_out(server, record):
+        if self._is_outlier(server, record):
             return self._eject(server, record, 'failures')
         return 0.0
 
     def hear(
-        self, server: str, service: str, *, seconds: float = _FIRST_SECONDS
+        self,
+        server: str,
+        service: str,
+        *,
+        seconds: float = _FIRST_EJECTION_SECONDS,
     ) -> None:
-        """Take it from another instance that a server is out."""
-        record = self._find(server, service)
+        """Eject a server because another instance reported it as ejected."""
+        record = self._get_record(server, service)
         until = self._clock() + seconds
-        if record.until is None or record.until < until:
-            record.until = until
-            record.probes = 0
-            record.probing_since = float('-inf')
+        if record.ejected_until is None or record.ejected_until < until:
+            record.ejected_until = until
+            record.probe_successes = 0
+            record.probe_since = float('-inf')
             self._metrics.count('ejections', 'heard')
 
-    def _find(self, server: str, service: str) -> _Record:
+    def _get_record(self, server: str, service: str) -> _Record:
         record = self._records.get(server)
         if record is None:
             record = self._records[server] = _Record(service)
         return record
 
-    def _bucket(self, record: _Record) -> list[float]:
+    def _current_bucket(self, record: _Record) -> list[float]:
         number = int(self._clock() * _BUCKETS / _WINDOW_SECONDS)
         if not record.buckets or record.buckets[-1][0] != number:
             record.buckets.append([number, 0.0, 0.0])
         return record.buckets[-1]
 
-    def _sum(self, record: _Record) -> tuple[float, float]:
+    def _sum_buckets(self, record: _Record) -> tuple[float, float]:
         oldest = int(self._clock() * _BUCKETS / _WINDOW_SECONDS) - _BUCKETS
-        good = bad = 0.0
+        successes = failures = 0.0
         for number, succeeded, failed in record.buckets:
             if number > oldest:
-                good += succeeded
-                bad += failed
-        return good, bad
+                successes += succeeded
+                failures += failed
+        return successes, failures
 
-    def _stands_out(self, server: str, record: _Record) -> bool:
-        good, bad = self._sum(record)
-        if bad < _LEAST_FAILURES:
+    def _is_outlier(self, server: str, record: _Record) -> bool:
+        successes, failures = self._sum_buckets(record)
+        if failures < _MIN_FAILURES:
             return False
-        others_good = others_bad = 0.0
+        peer_successes = peer_failures = 0.0
         for name, other in self._records.items():
             if other.service == record.service and name != server:
-                succeeded, failed = self._sum(other)
-                others_good += succeeded
-                others_bad += failed
-        usual = others_bad / max(1.0, others_good + others_bad)
-        if record.streak >= _STREAK and usual < _EXCESS_RATIO:
+                succeeded, failed = self._sum_buckets(other)
+                peer_successes += succeeded
+                peer_failures += failed
+        peer_ratio = peer_failures / max(1.0, peer_successes + peer_failures)
+        if (
+            record.consecutive_failures >= _CONSECUTIVE_FAILURES
+            and peer_ratio < _EXCESS_FAILURE_RATIO
+        ):
             return True
-        return bad / (good + bad) >= usual + _EXCESS_RATIO
+        return (
+            failures / (successes + failures)
+            >= peer_ratio + _EXCESS_FAILURE_RATIO
+        )
 
     def _eject(self, server: str, record: _Record, reason: str) -> float:
         peers = [
@@ -214,17 +234,23 @@
             for each in self._records.values()
             if each.service == record.service
         ]
-        out = sum(each.until is not None for each in peers)
-        if record.until is None and out + 1 > _MOST_FRACTION * len(peers):
+        ejected = sum(each.ejected_until is not None for each in peers)
+        if (
+            record.ejected_until is None
+            and ejected + 1 > _MAX_EJECTED_FRACTION * len(peers)
+        ):
             self._metrics.count('ejections', 'denied_fraction')
             return 0.0
-        seconds = min(_FIRST_SECONDS * 2**record.ejections, _MOST_SECONDS)
-        record.until = self._clock() + seconds
+        seconds = min(
+            _FIRST_EJECTION_SECONDS * 2**record.ejections,
+            _MAX_EJECTION_SECONDS,
+        )
+        record.ejected_until = self._clock() + seconds
         record.ejections += 1
-        record.probes = 0
-        record.unreachable = 0
-        record.streak = 0
-        record.probing_since = float('-inf')
+        record.probe_successes = 0
+        record.connect_failures = 0
+        record.consecutive_failures = 0
+        record.probe_since = float('-inf')
         self._metrics.count('ejections', reason)
         _LOG.warning(
             'backend_server_ejected',
--- a/src/amaranthslip/capacity/prefixes.py
+++ b/src/amaranthslip/capacity/prefixes.py
@@ -1,16 +1,16 @@
-"""Where prompt prefixes went lately: a hint for choosing servers."""
+"""Recent placement of prompt prefixes, a hint for choosing servers."""
 
 import collections
 import typing
 
-_MOST_KEPT = 20000
+_MAX_ENTRIES = 20000
 
 
 class Prefixes:
-    """The backend server that last had each prompt prefix.
+    """Maps each prompt prefix to the backend server that last processed it.
 
-    It is a hint only: engines drop prefixes when their memory is short, and
-    other entries send there as well.
+    The mapping is only a hint: engines evict prefixes when their memory runs
+    short, and other instances send requests to the same engines.
     """
 
     __slots__ = ('_servers',)
@@ -19,19 +19,25 @@
         self._servers: collections.OrderedDict = collections.OrderedDict()
 
     def note(self, server: str, hashes: typing.Iterable[int]) -> None:
-        """Note that a prompt with these prefix hashes ran at a server."""
+        """Record that a server processed a prompt with these prefix hashes."""
         for each in hashes:
             self._servers[each] = server
             self._servers.move_to_end(each)
-        while len(self._servers) > _MOST_KEPT:
+        while len(self._servers) > _MAX_ENTRIES:
             self._servers.popitem(last=False)
 
     def count_match(self, server: str, hashes: typing.Iterable[int]) -> int:
-        """Return how many of the prefixes the server had last."""
+        """Return how many of the prefixes the server processed last."""
         return sum(1 for each in hashes if self._servers.get(each) == server)
 
     def find(self, hashes: typing.Sequence[int]) -> str:
-        """Return the server that last had the longest prefix, or ''."""
+        """Return the last server of the longest known prefix, or ''.
+
+        Parameters
+        ----------
+        hashes : sequence of int
+            Prefix hashes, shortest prefix first.
+        """
         for each in reversed(hashes):
             server = self._servers.get(each)
             if server is not None:
--- a/src/amaranthslip/capacity/reading.py
+++ b/src/amaranthslip/capacity/reading.py
@@ -1,44 +1,63 @@
-"""How many prompt tokens an engine has yet to read, without asking it.
-
-Engines admit requests in the order of arrival and read their prompts one
-after the other. Whoever knows all that was sent there, and which request gave
-its first event last, knows what is left: what was sent after that one. Asking
-the engine costs a probe, and its answer is some hundred milliseconds old.
+"""Estimates an engine's backlog of prompt tokens without querying the engine.
+
+Engines admit requests in the order of arrival and process their prompts one
+after the other (prefill). The backlog follows from the requests that were sent
+to the engine and the last of them that produced its first event: it consists
+of the prompts that were sent after that request. Querying the engine would
+cost a request, and the values that it reports are some hundred milliseconds
+old.
 """
 
 import collections
 import typing
 
-# Tokens a second of an engine that nothing is known of. Only the first
-# seconds rest on it: each answer corrects it.
+# Assumed prefill rate of an engine in tokens a second, until responses have
+# been observed. It matters in the first seconds only: each response corrects
+# the estimate.
 FIRST_RATE = 25000.0
-# The learnt rate stays between these: a stalled engine must not be believed
-# to read nothing for ever, nor a cache hit to read without end.
-_LEAST_RATE = 2000.0
-_MOST_RATE = 200000.0
-# What a sample counts for, of one: some ten answers to follow a change.
-_GAIN = 0.1
-# Tokens: shorter waits are mostly steps and network, and tell no rate.
-_SAMPLE_TOKENS = 4000.0
-# Seconds from the end of reading to the first event here: a step of an
-# engine, and the network both ways.
+# Bounds of the estimated rate: a stalled engine must not drive the estimate to
+# zero for good, and a cache hit must not drive it towards infinity.
+_MIN_RATE = 2000.0
+_MAX_RATE = 200000.0
+# Weight of one sample in the moving average of the rate: the estimate follows
+# a change within about ten responses.
+_RATE_GAIN = 0.1
+# Least number of tokens, backlog and own prompt together, of a rate sample:
+# with fewer tokens, step and network time dominate the wait.
+_MIN_SAMPLE_TOKENS = 4000.0
+# Seconds from the end of prefill to the arrival of the first event at this
+# instance: one engine step, and the network time in both directions.
 OVERHEAD_SECONDS = 0.03
-# What a sample counts for in what a running request costs, of one.
+# Weight of one sample in the estimate of the delay per running request.
 _CONGESTION_GAIN = 0.05
-# Seconds that one running request costs the next one's first event, at most.
-_MOST_CONGESTION_SECONDS = 0.03
-# Few running requests tell little of what one costs.
-_FEW_RUNNING = 4
-# Seconds by which one sample may be off, at most: a first event that is later
-# was held up by something else.
-_MOST_ERROR_SECONDS = 0.5
+# Upper bound, in seconds, of the delay that one running request adds to the
+# first event of the next request.
+_MAX_CONGESTION_SECONDS = 0.03
+# Least divisor when a delay is attributed to the running requests: with fewer
+# running requests a sample says little about the delay of each.
+_MIN_RUNNING = 4
+# Upper bound, in seconds, of the error of one sample: a first event that is
+# later than that was delayed by another cause.
+_MAX_ERROR_SECONDS = 0.5
 
 
 class Mark:
-    """One request's place in an engine's queue.
-
-    `running` are the requests that were in progress there besides, `other`
-    the seconds that it was to wait for other reasons than reading.
+    """Position of one request in the prefill queue of an engine.
+
+    Attributes
+    ----------
+    tokens : float
+        Prompt tokens of the request that the engine has to process.
+    end : float
+        Value of `ReadingQueue.total` after the request was added.
+    sent : float
+        Time in seconds at which the request was sent.
+    ahead : float
+        Backlog in tokens at that time, without the request.
+    running : int
+        Other requests in progress on the engine at that time.
+    other : float
+        Expected seconds of waiting for reasons other than prefill.
     """
 
     __slots__ = ('tokens', 'end', 'sent', 'ahead', 'running', 'other')
@@ -62,53 +81,54 @@
 
 
 class ReadingQueue:
-    """The tokens that one engine was sent, and has read.
+    """Prompt tokens sent to one engine, and an estimate of those processed.
 
-    `total` grows with each token sent, `done` with the time, at the learnt
-    `rate` in tokens a second, and jumps to a request's end when its first
-    event comes.
+    `total` counts the tokens sent. The estimate of the tokens processed grows
+    with time at `rate`, the estimated prefill rate in tokens a second, and is
+    set to the end position of a request when its first event arrives.
 
-    `congestion` are the seconds by which each running request holds the next
-    one's first event up: it takes memory that a prompt waits for, and makes
-    the steps longer. It is learnt, as engines differ in both.
+    `congestion` is the delay in seconds that each running request adds to the
+    first event of the next request: a running request occupies memory that
+    the next prompt waits for, and makes each step longer. The value is
+    estimated from responses, since engines differ in both effects.
     """
 
     __slots__ = (
         'total',
         'rate',
         'congestion',
-        '_done',
-        '_at',
-        '_last_end',
-        '_open',
+        '_processed',
+        '_updated_at',
+        '_last_processed_end',
+        '_unstarted',
     )
 
     def __init__(self, *, now: float, rate: float = FIRST_RATE) -> None:
         self.total = 0.0
         self.rate = rate
         self.congestion = 0.0
-        self._done = 0.0
-        self._at = now
-        self._last_end = 0.0
-        # Own requests without a first event, in the order they were sent.
-        self._open: collections.OrderedDict[int, Mark] = (
+        self._processed = 0.0
+        self._updated_at = now
+        self._last_processed_end = 0.0
+        # Requests without a first event yet, in the order they were sent.
+        self._unstarted: collections.OrderedDict[int, Mark] = (
             collections.OrderedDict()
         )
 
     def read_backlog(self, now: float) -> float:
-        """Return the tokens that a request sent now would wait for."""
+        """Return the backlog in tokens ahead of a request sent now."""
         self._advance(now)
-        return self.total - self._done
+        return self.total - self._processed
 
     def expect(self, tokens: float, now: float, running: int) -> float:
-        """Return the seconds until a request's first event.
+        """Return the expected seconds until the first event of a request.
 
         Parameters
         ----------
         tokens : float
-            That it has to read.
+            Prompt tokens of the request that the engine has to process.
         running : int
-            Requests in progress there besides.
+            Other requests in progress on the engine.
         """
         reading = (self.read_backlog(now) + tokens) / self.rate
         return reading + self.congestion * running + OVERHEAD_SECONDS
@@ -121,7 +141,7 @@
         running: int = 0,
         other: float = 0.0,
     ) -> Mark:
-        """Count one own request; the mark tells of it later."""
+        """Add one request; its mark is passed to `start` or `drop` later."""
         ahead = self.read_backlog(now)
         self.total += tokens
         mark = Mark(
@@ -132,97 +152,102 @@
             running=running,
             other=other,
         )
-        self._open[id(mark)] = mark
+        self._unstarted[id(mark)] = mark
         return mark
 
     def correct(self, backlog: float, now: float) -> None:
-        """Take what is left to read from whoever knows all that was sent."""
+        """Set the backlog to the value from the instance that tracks it."""
         self._advance(now)
-        unknown = backlog - (self.total - self._done)
+        unknown = backlog - (self.total - self._processed)
         if unknown > 0:
             self.total += unknown
         else:
-            self._done = self.total - max(0.0, backlog)
+            self._processed = self.total - max(0.0, backlog)
 
     def start(self, mark: Mark, now: float) -> None:
-        """Take it that a request's first event came: all before it is read."""
-        if self._open.pop(id(mark), None) is None:
+        """Handle the first event of a request.
+
+        The engine has then processed all prompts up to this request.
+        """
+        if self._unstarted.pop(id(mark), None) is None:
             return
         self._advance(now)
-        self._learn(mark, now)
-        if mark.end < self._last_end:
+        self._update_estimates(mark, now)
+        if mark.end < self._last_processed_end:
             return
-        self._last_end = mark.end
-        self._done = min(self.total, mark.end)
+        self._last_processed_end = mark.end
+        self._processed = min(self.total, mark.end)
 
     def drop(self, mark: Mark, now: float) -> None:
-        """Take it that a request ended before its first event."""
-        if self._open.pop(id(mark), None) is None:
+        """Remove a request that ended before its first event."""
+        if self._unstarted.pop(id(mark), None) is None:
             return
         self._advance(now)
-        self._done = min(self.total, self._done + mark.tokens)
+        self._processed = min(self.total, self._processed + mark.tokens)
 
     def _advance(self, now: float) -> None:
-        done = self._done + self.rate * max(0.0, now - self._at)
-        self._at = now
-        if self._open:
-            # The engine is slower than was thought as long as a request
-            # waits whose turn should have come.
-            oldest = next(iter(self._open.values()))
-            done = min(done, max(self._done, oldest.end))
-        self._done = min(self.total, done)
-
-    def _learn(self, mark: Mark, now: float) -> None:
+        done = self._processed + self.rate * max(0.0, now - self._updated_at)
+        self._updated_at = now
+        if self._unstarted:
+            # While the oldest request still waits for its first event, the
+            # engine can't have processed more than that request's prompt,
+            # even if the estimated rate predicts more.
+            oldest = next(iter(self._unstarted.values()))
+            done = min(done, max(self._processed, oldest.end))
+        self._processed = min(self.total, done)
+
+    def _update_estimates(self, mark: Mark, now: float) -> None:
         tokens = mark.ahead + mark.tokens
         seconds = now - mark.sent - OVERHEAD_SECONDS - mark.other
-        self._learn_congestion(mark, seconds - tokens / self.rate)
+        self._update_congestion(mark, seconds - tokens / self.rate)
         seconds -= self.congestion * mark.running
-        if tokens < _SAMPLE_TOKENS or seconds <= 0:
+        if tokens < _MIN_SAMPLE_TOKENS or seconds <= 0:
             return
-        # One outlier moves it by a fifth at most.
+        # Clamping the sample limits the change by one outlier to a fifth.
         sample = min(max(tokens / seconds, self.rate / 3), self.rate * 3)
-        self.rate += _GAIN * (sample - self.rate)
-        self.rate = min(max(self.rate, _LEAST_RATE), _MOST_RATE)
+        self.rate += _RATE_GAIN * (sample - self.rate)
+        self.rate = min(max(self.rate, _MIN_RATE), _MAX_RATE)
 
-    def _learn_congestion(self, mark: Mark, seconds: float) -> None:
-        """Learn from the seconds that reading does not explain."""
+    def _update_congestion(self, mark: Mark, seconds: float) -> None:
+        """Update the congestion from the delay that prefill does not cause."""
         error = seconds - self.congestion * mark.running
-        error = min(max(error, -_MOST_ERROR_SECONDS), _MOST_ERROR_SECONDS)
-        running = max(mark.running, _FEW_RUNNING)
+        error = min(max(error, -_MAX_ERROR_SECONDS), _MAX_ERROR_SECONDS)
+        running = max(mark.running, _MIN_RUNNING)
         congestion = self.congestion + _CONGESTION_GAIN * error / running
-        self.congestion = min(max(congestion, 0.0), _MOST_CONGESTION_SECONDS)
+        self.congestion = min(max(congestion, 0.0), _MAX_CONGESTION_SECONDS)
 
 
 class CachedPrompts:
-    """Which parts of prompts an engine likely holds, by what was sent there.
+    """Estimates which prompt parts are in an engine's prefix cache.
 
-    An engine forgets the least recently used part once as many tokens were
-    read there since as its memory holds; `ReadingQueue.total` counts those,
-    whoever sent them.
+    An engine evicts the least recently used part once it has processed as many
+    tokens since the last use of the part as its memory holds.
+    `ReadingQueue.total` counts these tokens for all instances.
     """
 
-    __slots__ = ('_noted',)
+    __slots__ = ('_last_used',)
 
-    # Entries kept: at 60 bytes each, half a megabyte for 70 engines.
-    _MOST = 4000
+    # Maximum number of entries. Estimated memory: 60 bytes for each entry,
+    # half a megabyte for 70 engines.
+    _MAX_ENTRIES = 4000
 
     def __init__(self) -> None:
-        self._noted: collections.OrderedDict[str, float] = (
+        self._last_used: collections.OrderedDict[str, float] = (
             collections.OrderedDict()
         )
 
     def note(self, chain: typing.Sequence[str], total: float) -> None:
-        """Note that a prompt with these parts was sent, at this total."""
+        """Record that a prompt with these parts was sent at this total."""
         for key in chain:
-            self._noted[key] = total
-            self._noted.move_to_end(key)
-        while len(self._noted) > self._MOST:
-            self._noted.popitem(last=False)
+            self._last_used[key] = total
+            self._last_used.move_to_end(key)
+        while len(self._last_used) > self._MAX_ENTRIES:
+            self._last_used.popitem(last=False)
 
     def count_parts(
         self, chain: typing.Sequence[str], total: float, room: float
     ) -> int:
-        """Return how many of the leading parts are likely held.
+        """Return how many leading parts are probably cached.
 
         Parameters
         ----------
@@ -231,16 +256,17 @@
         total : float
             The engine's `ReadingQueue.total` now.
         room : float
-            Tokens that may have been read since a part's last use.
+            Tokens that the engine may have processed since the last use of a
+            part without evicting it.
         """
         count = 0
         for key in chain:
-            noted = self._noted.get(key)
+            noted = self._last_used.get(key)
             if noted is None or total - noted > room:
                 break
             count += 1
         return count
 
     def clear(self) -> None:
-        """Forget all, as an engine that restarts does."""
-        self._noted.clear()
+        """Remove all entries, since a restarted engine has an empty cache."""
+        self._last_used.clear()
--- a/src/amaranthslip/capacity/slots.py
+++ b/src/amaranthslip/capacity/slots.py
@@ -1,4 +1,4 @@
-"""The slots of one backend server, as its present owner counts them."""
+"""Slots of one backend server, as counted by the instance that owns it."""
 
 import collections
 import math
@@ -7,15 +7,33 @@
 
 from amaranthslip.capacity import limits
 
-# The load of others must show in three reports running before slots are
-# given up for it: a report lags, so one alone shows requests that this
-# owner granted or ended meanwhile.
+# Number of consecutive load reports that must show external load before this
+# owner reduces its allowance. Reports lag, so a single report may include
+# requests that this owner has granted or ended in the meantime.
 _EXTERNAL_REPORTS = 3
-_KNOWN_SECONDS = 5.0
+_PEAK_WINDOW_SECONDS = 5.0
 
 
 class Holding:
-    """One slot in use: who sends to it, for whom, and at what estimate."""
+    """One slot in use.
+
+    Attributes
+    ----------
+    id : int
+        Identifies the holding.
+    entry : str
+        Name of the instance that sends the request.
+    service : str
+        Service that the request is for.
+    client_account : str
+        Client account that the request belongs to.
+    server : str
+        Name of the backend server.
+    estimate : float
+        Estimated cost of the request.
+    granted : float
+        Time in seconds at which the slot was granted.
+    """
 
     __slots__ = (
         'id',
@@ -48,12 +66,13 @@
 
 
 class Slots:
-    """Which slots of one backend server are in use, and how many may be.
+    """Slots of one backend server in use, and the number allowed.
 
-    Two instances may both believe that they own the server. Each then sees
-    the other's requests in the server's load reports and gives up as many
-    slots, but never its fair part of them. With `fixed` it uses its fair
-    part only, whether the others use theirs or not.
+    During a change of ownership or a partition, two instances may both act as
+    the owner of the server. Each of them sees the other's requests in the load
+    reports of the server and reduces its own allowance by their number, but
+    never below its fair part. With `fixed`, the allowance is always the fair
+    part, even if the other owner leaves its part unused.
     """
 
     __slots__ = (
@@ -61,8 +80,8 @@
         'limit',
         'holdings',
         '_clock',
-        '_known_peaks',
-        '_external',
+        '_peaks',
+        '_external_loads',
         '_fixed',
         'open_from',
     )
@@ -82,18 +101,20 @@
         self.open_from = open_from
         self._fixed = fixed
         self._clock = clock
-        self._known_peaks: collections.deque = collections.deque()
-        self._external: collections.deque = collections.deque(
+        self._peaks: collections.deque = collections.deque()
+        self._external_loads: collections.deque = collections.deque(
             maxlen=_EXTERNAL_REPORTS
         )
 
     def count_free(self, fraction: float) -> int:
-        """Return how many more requests the server may get now.
+        """Return how many more requests may be granted on the server now.
 
         Parameters
         ----------
         fraction : float
-            This side's part of the fleet, 1.0 when all members are heard.
+            Guaranteed fraction of the slots: that of this side of a
+            partition, 1.0 if all members are reachable; with `fixed`, that
+            of this instance alone.
         """
         if self._clock() < self.open_from:
             return 0
@@ -108,36 +129,43 @@
         return max(fair_part, limit - self.count_external())
 
     def count_external(self) -> int:
-        """Return how many requests others have had there of late."""
-        if len(self._external) < _EXTERNAL_REPORTS:
+        """Return how many recent requests came from other owners.
+
+        This is the minimum over the last _EXTERNAL_REPORTS reports.
+        """
+        if len(self._external_loads) < _EXTERNAL_REPORTS:
             return 0
-        return max(0, min(self._external))
+        return max(0, min(self._external_loads))
 
     def hold(self, holding: Holding) -> None:
-        """Count one slot as used."""
+        """Mark one slot as used."""
         self.holdings[holding.id] = holding
         self._note_peak()
 
     def free(self, id: int) -> Holding | None:
-        """Count one slot as free again; nothing if it was not held."""
+        """Mark one slot as free; return its holding, or None if unknown."""
         holding = self.holdings.pop(id, None)
         self._note_peak()
         return holding
 
     def observe_load(self, *, running: int, waiting: int) -> None:
-        """Take one load report, however late it comes."""
+        """Update external load and limit from one load report.
+
+        The report may be delayed: it is compared with the recent peak of the
+        slots in use, not with their present number.
+        """
         external = running + waiting - self._recent_peak()
-        self._external.append(external)
+        self._external_loads.append(external)
         if self.count_external() == 0:
             self.limit.observe_load(running=running, waiting=waiting)
 
     def _note_peak(self) -> None:
         now = self._clock()
-        self._known_peaks.append((now, len(self.holdings)))
-        while self._known_peaks[0][0] < now - _KNOWN_SECONDS:
-            self._known_peaks.popleft()
+        self._peaks.append((now, len(self.holdings)))
+        while self._peaks[0][0] < now - _PEAK_WINDOW_SECONDS:
+            self._peaks.popleft()
 
     def _recent_peak(self) -> int:
-        since = self._clock() - _KNOWN_SECONDS
-        recent = [held for at, held in self._known_peaks if at >= since]
+        since = self._clock() - _PEAK_WINDOW_SECONDS
+        recent = [held for at, held in self._peaks if at >= since]
         return max([len(self.holdings), *recent])
