--- a/src/amaranthslip/members/__init__.py
+++ b/src/amaranthslip/members/__init__.py
@@ -1,4 +1,4 @@
-"""Members: which instances are alive, as the instances decide it."""
+"""Group membership: failure detection and the roster of live instances."""
 
 from amaranthslip.members.detector import Detector
 from amaranthslip.members.members import Member
--- a/src/amaranthslip/members/beliefs.py
+++ b/src/amaranthslip/members/beliefs.py
@@ -1,4 +1,4 @@
-"""What this instance believes of the others, and how news changes it."""
+"""Applies membership updates to the roster and spreads them as gossip."""
 
 import collections
 import logging
@@ -19,45 +19,46 @@
 _SUSPECT = members.MemberState.SUSPECT
 _LEAVING = members.MemberState.LEAVING
 _DEAD = members.MemberState.DEAD
-# How long the dead are remembered, and now and then tried: longer than the
-# hour for which regions lose each other.
-_FORGET_SECONDS = 7200.0
-# A bound on what news can make this instance remember.
-_MOST_MEMBERS = 10000
-# Lifeguard's local health: an instance with reason to doubt itself gives
-# the others this many times longer, at most.
-_MOST_DOUBT = 3
+# Seconds for which a dead member is remembered and probed from time to time.
+# A partition between regions can last an hour, so the value is larger.
+_DEAD_RETENTION_SECONDS = 7200.0
+# Upper bound of the members that received news can add to the roster.
+_MAX_MEMBERS = 10000
+# Upper bound of the local health score, after Lifeguard: an instance that
+# suspects a fault of its own extends its timeouts by this many times their
+# length at most.
+_MAX_LOCAL_HEALTH_SCORE = 3
 
 
 class Beliefs:
-    """Applies news to the roster, and passes on what was new.
+    """Applies news to the roster and queues new information as gossip.
 
     Parameters
     ----------
     settings : Settings
         Its `members` section is used.
     roster : Roster
-        Where beliefs are kept.
+        Holds the state of each known member.
     outbox : Outbox
-        Told each member's address.
+        Receives the address of each member.
     metrics : Metrics
-        Counts each change of belief in `members`.
+        Counts each change of a member's state in `members`.
     clock : Clock
-        Times suspicions.
+        Used for the deadlines of suspicions.
     """
 
     __slots__ = (
         'rumours',
-        'doubt',
-        'contradicted',
+        'local_health_score',
+        'recheck_names',
         '_settings',
         '_roster',
         '_outbox',
         '_metrics',
         '_clock',
-        '_suspected',
-        '_died',
-        '_filler',
+        '_suspicion_deadlines',
+        '_died_at',
+        '_live_members',
         '_counted_generation',
     )
 
@@ -70,8 +71,8 @@
         clock: clock_module.Clock,
     ) -> None:
         self.rumours = rumours_module.Rumours()
-        self.doubt = 0
-        self.contradicted: collections.deque[str] = collections.deque(
+        self.local_health_score = 0
+        self.recheck_names: collections.deque[str] = collections.deque(
             maxlen=64
         )
         self._settings = settings
@@ -79,124 +80,138 @@
         self._outbox = outbox
         self._metrics = metrics
         self._clock = clock
-        self._suspected: dict[str, float] = {}
-        self._died: dict[str, float] = {}
-        self._filler: typing.Iterator[members.Member] = iter(())
+        self._suspicion_deadlines: dict[str, float] = {}
+        self._died_at: dict[str, float] = {}
+        self._live_members: typing.Iterator[members.Member] = iter(())
         self._counted_generation = 0
 
     @property
     def dead(self) -> list[str]:
-        """The names of the dead that are still remembered."""
-        return list(self._died)
+        """Names of the dead members that are still remembered."""
+        return list(self._died_at)
 
     def learn(self, news: messages.News, *, spread: bool = True) -> bool:
-        """Take in one piece of news; True where it changed a belief.
+        """Apply one piece of news; return True if it changed a state.
 
         Parameters
         ----------
         news : News
-            What was heard.
+            The received state of one member.
         spread : bool
-            Whether to pass it on, where it was new. A contradiction to
-            news of this instance itself is passed on in any case.
+            Whether to gossip the news if it is new. A refutation of news
+            about this instance itself is always gossiped.
         """
         if not _is_valid(news):
             return False
         if news.name == self._roster.member.name:
-            return self._learn_of_self(news)
+            return self._apply_own_news(news)
         known = self._roster.get(news.name)
         if known is None:
-            return self._learn_of_stranger(news, spread)
-        if not _overrules(news, known):
-            self._note_contradiction(news, known)
+            return self._add_member(news, spread)
+        if not _supersedes(news, known):
+            self._record_contradiction(news, known)
             return False
         state = members.MemberState(news.state)
         if state is _DEAD and known.state is _ALIVE:
-            # One instance that was cut off, or slept, may declare many
-            # others dead. What it says of a member in service here opens
-            # a suspicion, which that member has the time to refute.
+            # An instance that was partitioned or paused may declare many
+            # members dead. If such a member is alive here, the news only
+            # starts a suspicion, which the member has time to refute.
             state = _SUSPECT
-        self._change(known, news, state, spread=spread)
+        self._change_state(known, news, state, spread=spread)
         return True
 
     def suspect(self, name: str) -> None:
-        """A member answered neither this instance nor others for it."""
+        """Suspect a member that answered no direct or indirect probe."""
         member = self._roster.get(name)
         if member is None or member.state in (_SUSPECT, _DEAD):
             return
         if member.state is _LEAVING:
-            # It gets no work in any case, so that a suspicion is no news;
-            # it has the same time to answer, and `confirm` ends this.
-            self._suspected.setdefault(name, self._find_deadline())
+            # A leaving member gets no work anyway, so the suspicion is not
+            # gossiped. The member has the usual time to answer;
+            # `confirm_leaving` ends the suspicion.
+            self._suspicion_deadlines.setdefault(
+                name, self._compute_deadline()
+            )
             return
-        self._change(member, describe(member), _SUSPECT)
+        self._change_state(member, describe(member), _SUSPECT)
 
-    def confirm(self, name: str) -> None:
-        """A member answered: a leaving one is still there."""
+    def confirm_leaving(self, name: str) -> None:
+        """End the suspicion of a leaving member that answered."""
         member = self._roster.get(name)
         if member is not None and member.state is _LEAVING:
-            self._suspected.pop(name, None)
+            self._suspicion_deadlines.pop(name, None)
 
     def expire(self) -> None:
-        """Declare dead whoever did not refute a suspicion in time."""
+        """Declare overdue suspects dead, and remove old dead members."""
         now = self._clock.now()
-        late = [n for n, until in self._suspected.items() if until <= now]
+        late = [
+            n for n, until in self._suspicion_deadlines.items() if until <= now
+        ]
         for name in late:
             member = self._roster.get(name)
-            self._change(member, describe(member), _DEAD)
+            self._change_state(member, describe(member), _DEAD)
         old = [
-            n for n, at in self._died.items() if at <= now - _FORGET_SECONDS
+            n
+            for n, at in self._died_at.items()
+            if at <= now - _DEAD_RETENTION_SECONDS
         ]
         for name in old:
-            del self._died[name]
+            del self._died_at[name]
             self._roster.remove(name)
             self._outbox.forget(name)
 
-    def excuse_pause(self, seconds: float) -> None:
-        """This instance did not run for a while: nobody's silence counts.
+    def extend_suspicions(self, seconds: float) -> None:
+        """Extend all suspicion deadlines by a pause of this process.
+
+        After a pause of the process every deadline has passed. Without the
+        extension this instance would declare all suspects dead at once and
+        spread false news through the fleet.
 
-        A process that was stopped and goes on finds every deadline passed.
-        Without this it would declare all suspects dead at once, and by its
-        news disturb the fleet. The others get the time that it slept.
+        Parameters
+        ----------
+        seconds : float
+            Length of the pause.
         """
-        for name in self._suspected:
-            self._suspected[name] += seconds
-        self.raise_doubt()
+        for name in self._suspicion_deadlines:
+            self._suspicion_deadlines[name] += seconds
+        self.raise_local_health_score()
         self._metrics.count('members', 'paused')
         _LOG.warning('member_paused', extra={'seconds': round(seconds, 2)})
 
-    def raise_doubt(self) -> None:
-        """There is a reason to think that the fault is here."""
-        self.doubt = min(self.doubt + 1, _MOST_DOUBT)
+    def raise_local_health_score(self) -> None:
+        """Raise the score because the fault may be in this instance."""
+        self.local_health_score = min(
+            self.local_health_score + 1, _MAX_LOCAL_HEALTH_SCORE
+        )
 
-    def lower_doubt(self) -> None:
-        """A member was reached as it should be."""
-        self.doubt = max(self.doubt - 1, 0)
+    def lower_local_health_score(self) -> None:
+        """Lower the score because a probe was answered in time."""
+        self.local_health_score = max(self.local_health_score - 1, 0)
 
     def leave(self) -> None:
-        """Announce that this instance takes no new work."""
+        """Mark this instance as leaving, and gossip the change."""
         self._roster.member.state = _LEAVING
         self._roster.note_change()
         self.rumours.put(describe(self._roster.member))
 
     def gather(self) -> list[messages.News]:
-        """Return the news for one message: rumours, and one known member.
+        """Return the news for one message: queued gossip and one live member.
 
-        The one more is taken in turn. It mends what rumours missed, for a
-        bounded price; only members in service or leaving are named, since
-        repeating old deaths would kill members that came back.
+        The additional member is chosen in round-robin order and repairs gaps
+        that gossip left, at a bounded cost. Dead members are never repeated
+        this way: an outdated death would remove a member that came back.
         """
         news = self.rumours.take(len(self._roster))
         own = self._roster.member
         if own.state is _LEAVING:
             news.append(describe(own))
-        filler = self._next_filler()
+        filler = self._next_live_member()
         if filler.state is _ALIVE:
             news.append(describe(filler))
         return news
 
     def gather_all(self) -> list[messages.News]:
-        """Return news of every member but the dead, for a newcomer."""
+        """Return news of every member that is not dead, for a new instance."""
         return [
             describe(member)
             for member in self._roster
@@ -204,7 +219,7 @@
         ]
 
     def report(self) -> None:
-        """Set the gauges, where something changed."""
+        """Set the gauges if the roster has changed since the last call."""
         if self._counted_generation == self._roster.generation:
             return
         self._counted_generation = self._roster.generation
@@ -214,14 +229,14 @@
                 'members_alive', state.name.lower(), counts[state]
             )
 
-    def _next_filler(self) -> members.Member:
-        filler = next(self._filler, None)
+    def _next_live_member(self) -> members.Member:
+        filler = next(self._live_members, None)
         if filler is None:
-            self._filler = iter(self._roster.live())
-            filler = next(self._filler, self._roster.member)
+            self._live_members = iter(self._roster.live())
+            filler = next(self._live_members, self._roster.member)
         return self._roster.get(filler.name) or self._roster.member
 
-    def _learn_of_self(self, news: messages.News) -> bool:
+    def _apply_own_news(self, news: messages.News) -> bool:
         own = self._roster.member
         if news.incarnation < own.incarnation:
             return False
@@ -233,43 +248,43 @@
                 extra={
                     'member': own.name,
                     'other_address': news.address,
-                    'remedy': 'give each instance a name of its own, unless'
-                    ' this one has moved',
+                    'remedy': 'give each instance a unique name; ignore this'
+                    ' if the instance moved to a new address',
                 },
             )
         own.incarnation = incarnations.raise_above(
             own.incarnation, news.incarnation
         )
         if news.state in (_SUSPECT, _DEAD):
-            self.raise_doubt()
+            self.raise_local_health_score()
             self._metrics.count('members', 'refuted_own')
             _LOG.info('member_refuted', extra={'incarnation': own.incarnation})
         self.rumours.put(describe(own))
         return True
 
-    def _learn_of_stranger(self, news: messages.News, spread: bool) -> bool:
-        # Of a member never heard of, only news that says where it is can
-        # be of use; that it is dead need not be remembered.
-        full = len(self._roster) >= _MOST_MEMBERS
+    def _add_member(self, news: messages.News, spread: bool) -> bool:
+        # News of an unknown member is useful only if it contains an address.
+        # An unknown member that is dead need not be remembered.
+        full = len(self._roster) >= _MAX_MEMBERS
         if news.state == _DEAD or not news.address or full:
             return False
         state = members.MemberState(news.state)
         member = _build_member(news, state)
-        self._apply(member, spread)
-        self._note('joined', member)
+        self._store_member(member, spread)
+        self._record_event('joined', member)
         return True
 
-    def _note_contradiction(
+    def _record_contradiction(
         self, news: messages.News, known: members.Member
     ) -> None:
-        # After a partition both halves hold each other for dead, at the
-        # incarnation that the others still have. Whoever says otherwise
-        # gives a reason to try that member again soon.
+        # After a partition each half considers the other dead at its current
+        # incarnation. News about such a member at the same incarnation, which
+        # `learn` rejects, is a reason to probe the member again soon.
         if known.state is _DEAD and news.incarnation == known.incarnation:
-            if known.name not in self.contradicted:
-                self.contradicted.append(known.name)
+            if known.name not in self.recheck_names:
+                self.recheck_names.append(known.name)
 
-    def _change(
+    def _change_state(
         self,
         known: members.Member,
         news: messages.News,
@@ -278,27 +293,27 @@
         spread: bool = True,
     ) -> None:
         member = _build_member(news, state, fallback=known)
-        self._apply(member, spread)
-        self._note(_name_event(known, member), member)
+        self._store_member(member, spread)
+        self._record_event(_classify_event(known, member), member)
 
-    def _apply(self, member: members.Member, spread: bool) -> None:
+    def _store_member(self, member: members.Member, spread: bool) -> None:
         now = self._clock.now()
-        self._suspected.pop(member.name, None)
-        self._died.pop(member.name, None)
+        self._suspicion_deadlines.pop(member.name, None)
+        self._died_at.pop(member.name, None)
         if member.state is _SUSPECT:
-            self._suspected[member.name] = self._find_deadline()
+            self._suspicion_deadlines[member.name] = self._compute_deadline()
         if member.state is _DEAD:
-            self._died[member.name] = now
+            self._died_at[member.name] = now
         self._roster.put(member)
         self._outbox.set_address(member.name, member.address)
         if spread:
             self.rumours.put(describe(member))
 
-    def _find_deadline(self) -> float:
-        patience = self._settings.members.suspect_seconds
-        return self._clock.now() + patience * (1 + self.doubt)
+    def _compute_deadline(self) -> float:
+        timeout = self._settings.members.suspect_seconds
+        return self._clock.now() + timeout * (1 + self.local_health_score)
 
-    def _note(self, event: str, member: members.Member) -> None:
+    def _record_event(self, event: str, member: members.Member) -> None:
         self._metrics.count('members', event)
         _LOG.info(
             f'member_{event}',
@@ -311,7 +326,7 @@
 
 
 def describe(member: members.Member) -> messages.News:
-    """Return a member's present state as news."""
+    """Return the present state of a member as news."""
     return messages.News(
         name=member.name,
         incarnation=member.incarnation,
@@ -330,7 +345,7 @@
     )
 
 
-def _overrules(news: messages.News, known: members.Member) -> bool:
+def _supersedes(news: messages.News, known: members.Member) -> bool:
     if news.incarnation != known.incarnation:
         return news.incarnation > known.incarnation
     return news.state > known.state
@@ -353,7 +368,7 @@
     )
 
 
-def _name_event(old: members.Member, new: members.Member) -> str:
+def _classify_event(old: members.Member, new: members.Member) -> str:
     if new.state is _SUSPECT:
         return 'suspected'
     if new.state is _LEAVING:
--- a/src/amaranthslip/members/clock.py
+++ b/src/amaranthslip/members/clock.py
@@ -1,4 +1,4 @@
-"""The clock that membership runs by; tests hand in a virtual one."""
+"""Clock of the membership protocol; tests replace it by a virtual one."""
 
 import time
 
@@ -6,14 +6,14 @@
 
 
 class Clock:
-    """Monotonic time, and sleep for one greenlet."""
+    """Monotonic time, and sleeping for one greenlet."""
 
     __slots__ = ()
 
     def now(self) -> float:
-        """Return seconds from an arbitrary start; never set back."""
+        """Return monotonic seconds since an arbitrary start."""
         return time.monotonic()
 
     def sleep(self, seconds: float) -> None:
-        """Let other greenlets run for at least this long."""
+        """Suspend the calling greenlet for at least this many seconds."""
         gevent.sleep(seconds)
--- a/src/amaranthslip/members/detector.py
+++ b/src/amaranthslip/members/detector.py
@@ -1,9 +1,10 @@
-"""Finds out who is alive by probing, in the manner of SWIM.
+"""Failure detector that probes members, after the SWIM protocol.
 
-Each instance probes one of its partners a period, in a shuffled round-robin;
-where no answer comes it asks a few others to probe, and where those stay
-silent too it spreads a suspicion. What this costs an instance does not
-depend on how many there are; see docs/design/members.md.
+In each period an instance probes one of its probe targets, in a shuffled
+round-robin order. If the target does not answer, the instance requests
+indirect probes from a few other members; if these get no answer either, it
+gossips a suspicion. The cost for one instance does not depend on the size of
+the fleet; see docs/design/members.md.
 """
 
 import contextlib
@@ -27,34 +28,38 @@
 
 _ALIVE = members.MemberState.ALIVE
 _DEAD = members.MemberState.DEAD
-# The dead, and names only listed, are tried once in so many periods.
-_RETRY_PERIODS = 10
-# As long as nobody answers, so many names of the list are tried a period.
-_JOIN_TRIES = 3
-# Names of the list that are greeted at a start, at once: one of them tells the
-# whole roster, the others learn of this instance. Until it knows the others,
-# an instance places requests as if every engine were its own: all that came
-# back together from a loss of power would fill the same engines.
-_GREETED = 16
-# Whole rosters that are asked for after that, and seconds between two: with
-# each, what one knows doubles, and a round trip is some milliseconds.
-_GREET_ROUNDS = 3
-_GREET_SECONDS = 0.05
-_LEAVE_TELLS = 5
-_MOST_ERRANDS = 256
-_NUMBERS = 1 << 32
-# After so many periods a newcomer asks for a whole roster again: where many
-# instances start at once, whoever it asked first knew few of them.
+# Dead members, and listed names without a known member, are probed once in
+# this many periods.
+_LOST_PROBE_PERIODS = 10
+# Number of dead or only listed members probed in each period while no other
+# member is live.
+_JOIN_PROBES = 3
+# Number of listed names probed immediately after a start: one of them returns
+# the whole roster, the others learn of this instance. An instance that knows
+# no other member places requests as if it owned every engine, so instances
+# that restart together after a power failure would overload the same engines.
+_START_PROBES = 16
+# Number of whole rosters requested after that, and the seconds before each
+# request. Each roster about doubles the number of known members, and a round
+# trip takes some milliseconds.
+_START_ROSTERS = 3
+_START_ROSTER_SECONDS = 0.05
+_LEAVE_PROBES = 5
+_MAX_INDIRECT_PROBES = 256
+_PROBE_NUMBERS = 1 << 32
+# Periods after its start in which an instance requests a whole roster again:
+# when many instances start at once, the first rosters contain few of them.
 _ROSTER_PERIODS = (5, 15, 40)
-# Two probes in a row without any answer: perhaps this instance is cut off.
-_DOUBTFUL_MISSES = 2
+# Consecutive unanswered probes after which this instance may itself be the one
+# that is partitioned.
+_LOCAL_FAULT_MISSES = 2
 
 HeardVersion = typing.Callable[[str, int], None]
 ReadVersion = typing.Callable[[], int]
 
 
-class _Errand:
-    """A probe sent for another member, whose answer is passed on."""
+class _IndirectProbe:
+    """An indirect probe, whose answer is relayed to the requester."""
 
     __slots__ = ('requester', 'number', 'target')
 
@@ -65,29 +70,29 @@
 
 
 class Detector:
-    """Keeps a roster true: the membership of one instance.
+    """Keeps the roster of one instance up to date by probes and gossip.
 
     Parameters
     ----------
     settings : Settings
         Its `members` and `platform` sections are used.
     roster : Roster
-        Kept up to date; holds this instance as `roster.member`.
+        The roster to update; `roster.member` is this instance.
     outbox : Outbox
-        Carries the messages; `receive` is to be handed what arrives.
+        Sends the messages. The caller passes received ones to `receive`.
     metrics : Metrics
-        Counts changes of belief in `members`.
+        Counts changes of member states in `members`.
     instance_list : InstanceList or None
-        The platform's list, from which others are found at the start.
+        The platform's list of instances, for the discovery of members.
     heard_version : callable or None
-        Called with a member's name and the version of the configuration
-        that is in force there, with each probe and answer.
+        Called on each received probe and answer, with the name of the sender
+        and the version of the configuration in force there.
     read_version : callable or None
-        Returns the version in force here.
+        Returns the version of the configuration in force at this instance.
     clock : Clock or None
-        Tests hand in a virtual one.
+        Time source; tests pass a virtual clock.
     seed : int or None
-        Makes the choices repeatable.
+        Seed of the random choices, for repeatable tests.
     """
 
     __slots__ = (
@@ -101,17 +106,17 @@
         '_random',
         '_beliefs',
         '_seeds',
-        '_order',
-        '_retries',
-        '_number',
-        '_awaited',
+        '_probe_order',
+        '_lost_names',
+        '_last_number',
+        '_awaited_number',
         '_answered',
         '_paused',
-        '_misses',
+        '_consecutive_misses',
         '_periods',
         '_wants_roster',
-        '_asked',
-        '_errands',
+        '_roster_requested',
+        '_indirect_probes',
         '_stack',
     )
 
@@ -142,50 +147,50 @@
         self._seeds = seeds_module.Seeds(
             instance_list, roster, self._beliefs, outbox
         )
-        self._order: list[str] = []
-        self._retries: list[str] = []
-        self._number = 0
-        self._awaited = 0
+        self._probe_order: list[str] = []
+        self._lost_names: list[str] = []
+        self._last_number = 0
+        self._awaited_number = 0
         self._answered = False
         self._paused = False
-        self._misses = 0
+        self._consecutive_misses = 0
         self._periods = 0
         self._wants_roster = True
-        self._asked = False
-        self._errands: dict[int, _Errand] = {}
+        self._roster_requested = False
+        self._indirect_probes: dict[int, _IndirectProbe] = {}
         self._stack = contextlib.ExitStack()
 
     def start(self) -> None:
-        """Begin to probe."""
-        for task in (self._probe_for_ever, self._refresh_for_ever):
+        """Start to probe members and to refresh the list of instances."""
+        for task in (self._run_probes, self._run_refreshes):
             self._stack.callback(gevent.spawn(task).kill)
 
     def close(self) -> None:
-        """Stop at once; the others notice unless `leave` came before."""
+        """Stop at once; without a preceding `leave`, peers see a failure."""
         self._stack.close()
 
     def leave(self) -> None:
-        """Announce that this instance takes no new work, and go on.
+        """Announce that this instance takes no new work, and keep running.
 
-        A few members are told at once, the rest by them. Probes are
-        answered until `close`, so that a leaving instance that still
-        finishes requests is not taken for dead.
+        A few members are notified at once, and gossip notifies the rest.
+        Probes are answered until `close`, so that a leaving instance that
+        still finishes requests is not declared dead.
         """
         self._beliefs.leave()
-        for member in self._choose_others(_LEAVE_TELLS, set()):
+        for member in self._choose_members(_LEAVE_PROBES, set()):
             self._send_probe(member.name)
 
     def seed_roster(self) -> None:
-        """Read the platform's list now; it is read at intervals as well."""
+        """Read the platform's list now, besides the periodic refresh."""
         self._seeds.refresh()
 
     def receive(self, sender: str, message: object) -> None:
-        """Take one message from a peer; other kinds are ignored."""
+        """Handle one message from a peer; ignore other message types."""
         self._handle(message, sender)
 
     @functools.singledispatchmethod
     def _handle(self, message: object, sender: str) -> None:
-        """Ignore messages that are not about membership."""
+        """Ignore messages that do not concern membership."""
 
     @_handle.register
     def _handle_hello(self, message: messages.Hello, sender: str) -> None:
@@ -197,20 +202,20 @@
             region=message.region,
             state=int(_ALIVE),
         )
-        self._learn_all([news])
-        self._answer_at(message)
+        self._apply_news([news])
+        self._set_answer_address(message)
 
     @_handle.register
     def _handle_probe(self, message: messages.Probe, sender: str) -> None:
-        self._learn_all(message.news)
-        self._note_version(sender, message.config_version)
-        news = self._gather_for(sender)
+        self._apply_news(message.news)
+        self._report_version(sender, message.config_version)
+        news = self._select_news(sender)
         if message.wants_roster:
             news = self._beliefs.gather_all()
         answer = messages.ProbeAnswer(
             number=message.number,
             news=news,
-            config_version=self._own_version(),
+            config_version=self._get_own_version(),
         )
         self._outbox.send(sender, answer)
 
@@ -218,21 +223,21 @@
     def _handle_answer(
         self, message: messages.ProbeAnswer, sender: str
     ) -> None:
-        self._learn_all(message.news)
-        self._note_version(sender, message.config_version)
-        self._beliefs.confirm(sender)
+        self._apply_news(message.news)
+        self._report_version(sender, message.config_version)
+        self._beliefs.confirm_leaving(sender)
         if not message.target:
             self._wants_roster = False
-        if message.number == self._awaited:
+        if message.number == self._awaited_number:
             self._answered = True
-        errand = self._errands.pop(message.number, None)
-        if errand is not None and errand.target == sender:
+        indirect = self._indirect_probes.pop(message.number, None)
+        if indirect is not None and indirect.target == sender:
             answer = messages.ProbeAnswer(
-                number=errand.number,
-                target=errand.target,
-                config_version=self._own_version(),
+                number=indirect.number,
+                target=indirect.target,
+                config_version=self._get_own_version(),
             )
-            self._outbox.send(errand.requester, answer)
+            self._outbox.send(indirect.requester, answer)
 
     @_handle.register
     def _handle_request(
@@ -240,73 +245,79 @@
     ) -> None:
         if self._roster.get(message.target) is None:
             return
-        while len(self._errands) >= _MOST_ERRANDS:
-            self._errands.pop(next(iter(self._errands)))
+        while len(self._indirect_probes) >= _MAX_INDIRECT_PROBES:
+            self._indirect_probes.pop(next(iter(self._indirect_probes)))
         number = self._send_probe(message.target)
-        self._errands[number] = _Errand(sender, message.number, message.target)
+        self._indirect_probes[number] = _IndirectProbe(
+            sender, message.number, message.target
+        )
 
-    def _probe_for_ever(self) -> None:
-        # Instances that started together shall not probe together.
-        self._sleep(self._random.random() * self._period())
+    def _run_probes(self) -> None:
+        # The random delay prevents instances that started together from
+        # probing at the same moments.
+        self._sleep(self._random.random() * self._get_period_seconds())
         while True:
             self._beliefs.expire()
             self._beliefs.report()
-            self._try_lost()
+            self._probe_lost_members()
             name = self._next_target()
             if name is None:
-                self._sleep(self._period())
+                self._sleep(self._get_period_seconds())
             else:
                 self._probe(name)
 
-    def _refresh_for_ever(self) -> None:
+    def _run_refreshes(self) -> None:
         interval = self._settings.platform.list_interval_seconds
         self._seeds.refresh()
-        self._greet_listed()
+        self._probe_listed()
         while True:
             self._clock.sleep(interval * self._random.uniform(0.75, 1.25))
             self._seeds.refresh()
 
-    def _greet_listed(self) -> None:
-        for name in self._seeds.draw_untried(_GREETED, self._random):
+    def _probe_listed(self) -> None:
+        for name in self._seeds.draw_unprobed(_START_PROBES, self._random):
             self._send_probe(name)
-        # Whoever was asked first has just started, too, and knew nobody.
-        for _ in range(_GREET_ROUNDS):
-            self._clock.sleep(_GREET_SECONDS)
-            self._wants_roster, self._asked = True, False
-            for member in self._choose_others(1, set()):
+        # The members that were probed first may have just started as well and
+        # know no other member yet.
+        for _ in range(_START_ROSTERS):
+            self._clock.sleep(_START_ROSTER_SECONDS)
+            self._wants_roster, self._roster_requested = True, False
+            for member in self._choose_members(1, set()):
                 self._send_probe(member.name)
 
     def _probe(self, name: str) -> None:
-        period = self._period()
+        period = self._get_period_seconds()
         wait = self._settings.members.probe_timeout_seconds
-        wait = min(wait * (1 + self._beliefs.doubt), period)
+        wait = min(wait * (1 + self._beliefs.local_health_score), period)
         self._answered = self._paused = False
-        self._awaited = self._send_probe(name)
+        self._awaited_number = self._send_probe(name)
         self._sleep(wait)
         if not self._answered:
-            self._ask_others(name)
+            self._request_indirect_probes(name)
         self._sleep(period - wait)
         if self._answered:
-            self._misses = 0
-            self._beliefs.lower_doubt()
+            self._consecutive_misses = 0
+            self._beliefs.lower_local_health_score()
         elif not self._paused:
-            self._note_silence(name)
+            self._handle_missing_answer(name)
 
-    def _note_silence(self, name: str) -> None:
-        self._misses += 1
-        if self._misses >= _DOUBTFUL_MISSES:
-            self._beliefs.raise_doubt()
+    def _handle_missing_answer(self, name: str) -> None:
+        self._consecutive_misses += 1
+        if self._consecutive_misses >= _LOCAL_FAULT_MISSES:
+            self._beliefs.raise_local_health_score()
         self._beliefs.suspect(name)
-        # The suspect itself is told at once: if it lives it refutes.
+        # Notify the suspect at once: if it is alive, it refutes the suspicion.
         self._send_probe(name)
 
-    def _ask_others(self, name: str) -> None:
+    def _request_indirect_probes(self, name: str) -> None:
         count = self._settings.members.indirect_probes
-        request = messages.ProbeRequest(number=self._awaited, target=name)
-        for member in self._choose_others(count, {name}):
+        request = messages.ProbeRequest(
+            number=self._awaited_number, target=name
+        )
+        for member in self._choose_members(count, {name}):
             self._outbox.send(member.name, request)
 
-    def _choose_others(
+    def _choose_members(
         self, count: int, excluded: set[str]
     ) -> list[members.Member]:
         excluded = excluded | {self._roster.member.name}
@@ -316,82 +327,85 @@
         return [m for m in chosen if m.name not in excluded][:count]
 
     def _next_target(self) -> str | None:
-        while self._order:
-            member = self._roster.get(self._order.pop())
+        while self._probe_order:
+            member = self._roster.get(self._probe_order.pop())
             if member is not None and member.state is not _DEAD:
                 return member.name
         names = [m.name for m in self._roster if m.state is not _DEAD]
-        self._order = partners.choose(self._roster.member.name, names)
-        self._random.shuffle(self._order)
-        return self._order.pop() if self._order else None
+        self._probe_order = partners.choose(self._roster.member.name, names)
+        self._random.shuffle(self._probe_order)
+        return self._probe_order.pop() if self._probe_order else None
 
-    def _try_lost(self) -> None:
-        # Two halves of a partition hold each other for dead. If nobody
-        # tried the dead again, they would stay apart after it healed.
+    def _probe_lost_members(self) -> None:
+        # The two halves of a partition consider each other dead. Without
+        # probes of dead members they would not merge after it healed.
         self._periods += 1
-        # A whole roster is asked of one other in each period.
-        self._asked = False
+        # At most one probe in each period requests a whole roster.
+        self._roster_requested = False
         if self._periods in _ROSTER_PERIODS:
             self._wants_roster = True
-        untried = self._seeds.next_untried()
-        if untried is not None:
-            self._send_probe(untried)
+        unprobed = self._seeds.next_unprobed()
+        if unprobed is not None:
+            self._send_probe(unprobed)
         if len(self._roster.live()) < 2:
             self._wants_roster = True
-            for _ in range(_JOIN_TRIES):
-                self._try_one_lost()
-        elif self._beliefs.contradicted:
-            self._send_probe(self._beliefs.contradicted.popleft())
-        elif self._periods % _RETRY_PERIODS == 0:
-            self._try_one_lost()
-
-    def _try_one_lost(self) -> None:
-        if not self._retries:
-            self._retries = self._beliefs.dead + self._seeds.unheard
-            self._random.shuffle(self._retries)
-        if self._retries:
-            self._send_probe(self._retries.pop())
+            for _ in range(_JOIN_PROBES):
+                self._probe_lost_member()
+        elif self._beliefs.recheck_names:
+            self._send_probe(self._beliefs.recheck_names.popleft())
+        elif self._periods % _LOST_PROBE_PERIODS == 0:
+            self._probe_lost_member()
+
+    def _probe_lost_member(self) -> None:
+        if not self._lost_names:
+            self._lost_names = self._beliefs.dead + self._seeds.unknown
+            self._random.shuffle(self._lost_names)
+        if self._lost_names:
+            self._send_probe(self._lost_names.pop())
 
     def _send_probe(self, name: str) -> int:
-        self._number = self._number % (_NUMBERS - 1) + 1
+        self._last_number = self._last_number % (_PROBE_NUMBERS - 1) + 1
         probe = messages.Probe(
-            number=self._number,
-            news=self._gather_for(name),
-            config_version=self._own_version(),
-            wants_roster=self._wants_roster and not self._asked,
+            number=self._last_number,
+            news=self._select_news(name),
+            config_version=self._get_own_version(),
+            wants_roster=self._wants_roster and not self._roster_requested,
         )
-        self._asked = True
+        self._roster_requested = True
         self._outbox.send(name, probe)
-        return self._number
+        return self._last_number
 
-    def _gather_for(self, name: str) -> list[messages.News]:
+    def _select_news(self, name: str) -> list[messages.News]:
         known = self._roster.get(name)
         if known is None:
             return []
         if known.state is _ALIVE:
             return self._beliefs.gather()
         if known.state is members.MemberState.LEAVING:
-            told = beliefs_module.describe(known)
-            return [*self._beliefs.gather(), told]
-        # It hears what is believed of it, so that it can contradict. It
-        # may be gone, or of a half with news of its own: rumours, which
-        # are passed on a few times only, are kept for the others.
+            leaving = beliefs_module.describe(known)
+            return [*self._beliefs.gather(), leaving]
+        # The probe contains the state recorded for the target, so that the
+        # target can refute it. No queued gossip is sent: each piece is sent
+        # a limited number of times only, and the target may be gone or in
+        # the other half of a partition.
         return [beliefs_module.describe(known)]
 
-    def _answer_at(self, hello: messages.Hello) -> None:
-        # A restart with a clock that was set back brings a number below
-        # the one remembered, perhaps from a new address. It is no news, yet
-        # answers must reach it there: they tell it what is remembered, and
-        # it goes above that.
+    def _set_answer_address(self, hello: messages.Hello) -> None:
+        # After a restart with a clock that was set back, the incarnation is
+        # lower than the remembered one, and the address may be new. The state
+        # is rejected as outdated, but answers must reach the new address:
+        # they carry the remembered incarnation, which the instance then
+        # supersedes.
         known = self._roster.get(hello.name)
         if known is None or known.incarnation <= hello.incarnation:
             return
         if known.name != self._roster.member.name:
             self._outbox.set_address(hello.name, hello.address)
 
-    def _learn_all(self, news: typing.Sequence[messages.News]) -> None:
-        # A whole roster is no news to the fleet: nothing of it is passed on.
-        spread = len(news) <= rumours.MOST_NEWS
+    def _apply_news(self, news: typing.Sequence[messages.News]) -> None:
+        # A whole roster contains nothing new to the fleet, so it is not
+        # gossiped.
+        spread = len(news) <= rumours.MAX_NEWS
         for item in news:
             self._beliefs.learn(item, spread=spread)
 
@@ -401,20 +415,20 @@
         gap = self._clock.now() - before - seconds
         if gap > self._settings.members.probe_timeout_seconds:
             self._paused = True
-            self._beliefs.excuse_pause(gap)
+            self._beliefs.extend_suspicions(gap)
         if gap > self._settings.members.suspect_seconds:
-            # Only what a long sleep missed is worth a whole roster: asked
-            # for after each short stall, rosters would keep an overloaded
-            # instance overloaded.
+            # A whole roster is requested only after a long pause: requests
+            # after each short stall would keep an overloaded instance
+            # overloaded.
             self._wants_roster = True
 
-    def _period(self) -> float:
+    def _get_period_seconds(self) -> float:
         seconds = self._settings.members.probe_seconds
-        return seconds * (1 + self._beliefs.doubt)
+        return seconds * (1 + self._beliefs.local_health_score)
 
-    def _note_version(self, sender: str, version: int) -> None:
+    def _report_version(self, sender: str, version: int) -> None:
         if self._heard_version is not None:
             self._heard_version(sender, version)
 
-    def _own_version(self) -> int:
+    def _get_own_version(self) -> int:
         return 0 if self._read_version is None else self._read_version()
--- a/src/amaranthslip/members/incarnations.py
+++ b/src/amaranthslip/members/incarnations.py
@@ -1,50 +1,52 @@
-"""Incarnation numbers: which start of an instance a message is about.
+"""Incarnation numbers, which identify one start of an instance.
 
-The upper bits are the start, in milliseconds of the wall clock; the lower
-sixteen count the suspicions refuted since. An instance keeps nothing on
-disk, and needs nothing: a later start has a later clock. Where the clock was
-set back, the peers still remember the higher number and tell it to the
-restarted instance, which then takes a start above theirs.
+The upper bits are the start time in milliseconds of the wall clock; the lower
+sixteen bits count the suspicions that the instance has refuted since. No state
+on disk is needed, since a later start has a later clock. If the clock was set
+back, the peers still remember the higher number and send it to the restarted
+instance, which then chooses a start above that number.
 """
 
 _REFUTATION_BITS = 16
-# Nothing above this is believed: a garbled number must leave room above it.
-_MOST = 1 << 63
+# Larger numbers are rejected: a corrupted number must leave room for a higher
+# one that refutes it.
+_LIMIT = 1 << 63
 
 
 def draw(wall_seconds: float) -> int:
-    """Return the incarnation of an instance that starts now.
+    """Return the incarnation of an instance that starts at this time.
 
     Parameters
     ----------
     wall_seconds : float
-        Seconds since the epoch, as `time.time` gives them.
+        Start time in seconds since the epoch, as returned by `time.time`.
     """
     return int(wall_seconds * 1000) << _REFUTATION_BITS
 
 
 def start_of(incarnation: int) -> int:
-    """Return which start it belongs to, whatever was refuted since."""
+    """Return the start part of an incarnation, without the refutations."""
     return incarnation >> _REFUTATION_BITS
 
 
 def is_credible(incarnation: int) -> bool:
-    """Tell whether a number that came from a peer may be real."""
-    return 0 <= incarnation < _MOST
+    """Return whether a number received from a peer is in the valid range."""
+    return 0 <= incarnation < _LIMIT
 
 
 def raise_above(own: int, heard: int) -> int:
-    """Return the incarnation with which to contradict `heard`.
+    """Return an incarnation that supersedes `heard`.
 
     Parameters
     ----------
     own : int
         The instance's present incarnation.
     heard : int
-        The one that others believe in, at least as high.
+        The incarnation that peers believe in, at least as high as `own`.
     """
     if start_of(heard) == start_of(own):
         return heard + 1
-    # An earlier life of this name, seen with a clock that ran ahead. A new
-    # start, not a refutation, so that the peers see a restart as one.
+    # `heard` belongs to an earlier start under this name, when the clock was
+    # ahead. The result is a new start, not a refutation, so that the peers
+    # recognise the restart.
     return (start_of(heard) + 1) << _REFUTATION_BITS
--- a/src/amaranthslip/members/members.py
+++ b/src/amaranthslip/members/members.py
@@ -1,4 +1,4 @@
-"""One member of the fleet, as the others know it."""
+"""One member of the fleet and its state."""
 
 import enum
 import time
@@ -8,7 +8,7 @@
 
 
 class MemberState(enum.IntEnum):
-    """What the fleet believes of a member; a higher one overrules."""
+    """State of a member; at equal incarnations the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,10 +17,10 @@
 
 
 class Member:
-    """An instance's name, address, place and incarnation.
+    """Name, address, location, incarnation and state of one instance.
 
-    The incarnation is drawn anew at each start, from the clock, so that a
-    restart shows; a member raises it to refute a suspicion.
+    Each start derives a new incarnation from the clock, so that peers detect
+    a restart. A member raises its incarnation to refute a suspicion.
     """
 
     __slots__ = (
@@ -50,7 +50,7 @@
         self.state = state
 
     def describe(self) -> dict[str, str]:
-        """Return what operators are shown of it, as values for JSON."""
+        """Return the fields shown to operators, as values for JSON."""
         return {
             'name': self.name,
             'address': self.address,
@@ -61,7 +61,7 @@
 
 
 def build_own(settings: settings_module.Settings) -> Member:
-    """Return this instance as a member, with an incarnation of its own."""
+    """Return this instance as a member, with a new incarnation."""
     return Member(
         name=settings.instance.name,
         incarnation=incarnations.draw(time.time()),
--- a/src/amaranthslip/members/messages.py
+++ b/src/amaranthslip/members/messages.py
@@ -1,10 +1,10 @@
-"""What members tell one another about who is alive."""
+"""Messages of the membership protocol."""
 
 import typing
 
 
 class Hello:
-    """The first message of every connection: who dialled."""
+    """First message of every connection, which identifies its initiator."""
 
     __slots__ = (
         'name',
@@ -31,7 +31,7 @@
 
 
 class News:
-    """One member's state as the teller believes it."""
+    """State of one member, as known to the sender of the message."""
 
     __slots__ = (
         'name',
@@ -61,10 +61,10 @@
 
 
 class Probe:
-    """Asks a peer for a sign of life, and passes news along.
+    """Liveness probe of a peer, with gossip attached.
 
-    `wants_roster` asks for news of every member in the answer: the sender
-    has just started, or slept.
+    `wants_roster` requests news of every member in the answer. A member sets
+    it after its start, after a long pause, or while it knows no live peer.
     """
 
     __slots__ = ('number', 'news', 'config_version', 'wants_roster')
@@ -84,10 +84,11 @@
 
 
 class ProbeAnswer:
-    """The sign of life that a probe asked for.
+    """Answer to a probe.
 
-    `target` names the probed member when another one asked on behalf of
-    the prober, and is empty otherwise.
+    For an indirect probe, `target` is the name of the member that answered;
+    the answer was relayed to the prober by another member. Otherwise `target`
+    is empty.
     """
 
     __slots__ = ('number', 'target', 'news', 'config_version')
@@ -107,7 +108,7 @@
 
 
 class ProbeRequest:
-    """Asks a peer to probe a third member, which did not answer here."""
+    """Requests an indirect probe of a member that did not answer directly."""
 
     __slots__ = ('number', 'target')
 
--- a/src/amaranthslip/members/outbox.py
+++ b/src/amaranthslip/members/outbox.py
@@ -1,4 +1,4 @@
-"""What membership needs of whatever carries its messages."""
+"""Interface of the message transport that membership requires."""
 
 import typing
 
@@ -7,10 +7,10 @@
     """Sends messages to named members; `links.Links` is one."""
 
     def send(self, name: str, message: object) -> bool:
-        """Queue a message; False where that can't be done."""
+        """Queue a message; return False if it can't be queued."""
 
     def set_address(self, name: str, address: str) -> None:
-        """Make a member known, or where it has moved to."""
+        """Set the address of a new member, or a new address of a known one."""
 
     def forget(self, name: str) -> None:
-        """Drop the connection to a member, and what waits for it."""
+        """Close the connection to a member and drop its queued messages."""
--- a/src/amaranthslip/members/partners.py
+++ b/src/amaranthslip/members/partners.py
@@ -1,11 +1,12 @@
-"""Whom a member probes: a few fixed others, so that links stay open.
+"""Chooses a few fixed probe targets of a member, so that links stay open.
 
-With a random target each period, every probe and every answer of a large
-fleet needs a new connection. Here the names stand in a circle, in the order
-of their hashes, and each member probes those 1, 2, 4, 8 and so on places
-ahead, as the fingers of a Chord ring. Every member has as many probers as it
-has targets, news reaches all in a logarithmic number of steps, and since the
-whole list is known there are no pointers to keep.
+With a random target in each period, every probe and every answer in a large
+fleet would need a new connection. Instead, the names form a ring in the order
+of their hashes, and each member probes the members 1, 2, 4, 8 and so on
+positions ahead, like the fingers of a Chord ring. Every member is probed by as
+many members as it probes, and gossip reaches all members in a logarithmic
+number of steps. Since the whole list of members is known, no finger table has
+to be maintained.
 """
 
 import typing
@@ -19,20 +20,20 @@
     Parameters
     ----------
     own : str
-        The prober, which may be among the names.
+        Name of the probing member, which may be among the names.
     names : iterable of str
-        Everyone who is to be probed by someone.
+        All members that have to be probed.
 
     Returns
     -------
     list of str
         One for each power of two below the number of names.
     """
-    circle = sorted({own, *names}, key=identity.identify)
-    place = circle.index(own)
+    ring = sorted({own, *names}, key=identity.identify)
+    position = ring.index(own)
     chosen = []
     step = 1
-    while step < len(circle):
-        chosen.append(circle[(place + step) % len(circle)])
+    while step < len(ring):
+        chosen.append(ring[(position + step) % len(ring)])
         step *= 2
     return chosen
--- a/src/amaranthslip/members/rendezvous.py
+++ b/src/amaranthslip/members/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: which members serve a key, with no ring to keep."""
+"""Rendezvous hashing: assigns keys to members without a hash ring."""
 
 import heapq
 import typing
@@ -9,22 +9,22 @@
 def pick(key: str, names: typing.Iterable[str], count: int) -> list[str]:
     """Return the `count` names with the highest weights for a key.
 
-    Every instance that knows the same names picks the same ones. A name
-    that goes moves only the keys that it was picked for.
+    Instances that know the same names pick the same ones. When a name is
+    removed, only the keys that it was picked for move.
 
     Parameters
     ----------
     key : str
-        What is to be placed, such as a service and client account.
+        The key to assign, such as a service and client account.
     names : iterable of str
         The candidates, such as the names of the live members.
     count : int
-        How many to pick; all, where there are fewer.
+        Number of names to pick; if there are fewer, all are returned.
 
     Returns
     -------
     list of str
-        Highest weight first; equal weights in the order of the names.
+        Highest weight first. Among equal weights the greater name is first.
     """
     ranked = ((identity.rank(key, name), name) for name in names)
     return [name for _, name in heapq.nlargest(count, ranked)]
--- a/src/amaranthslip/members/roster.py
+++ b/src/amaranthslip/members/roster.py
@@ -1,4 +1,4 @@
-"""The roster: every member that this instance knows, and what it believes."""
+"""Roster of all members known to this instance, with their states."""
 
 import typing
 
@@ -6,12 +6,12 @@
 
 
 class Roster:
-    """All known members by name; this instance is always among them.
+    """All known members by name, including this instance.
 
     Parameters
     ----------
     member : Member
-        This instance. The roster holds this very object.
+        This instance. The roster stores the object itself, not a copy.
     """
 
     __slots__ = ('member', 'generation', '_members', '_live')
@@ -29,15 +29,15 @@
         return iter(list(self._members.values()))
 
     def get(self, name: str) -> members.Member | None:
-        """Return a member whatever its state, or None."""
+        """Return a member in any state, or None if it is unknown."""
         return self._members.get(name)
 
     def live(self) -> tuple[members.Member, ...]:
         """Return the members in service, sorted by name.
 
-        Suspected ones are among them: a suspicion is often wrong, and a
-        dispatcher that changes hands twice in three seconds costs more
-        than one that is slow for as long.
+        Suspected members are included: a suspicion is often wrong, and moving
+        a dispatcher to another instance and back within three seconds costs
+        more than a dispatcher that is slow for as long.
         """
         if self._live is None:
             names = sorted(self._members)
@@ -48,26 +48,26 @@
         return self._live
 
     def put(self, member: members.Member) -> None:
-        """Add a member, or replace what is known of it."""
+        """Add a member, or replace its record."""
         old = self._members.get(member.name)
         self._members[member.name] = member
         if old is None or _differs(old, member):
             self.note_change()
 
     def remove(self, name: str) -> None:
-        """Forget a member."""
+        """Remove a member, if it is known."""
         member = self._members.pop(name, None)
         if member is not None and is_live(member.state):
             self.note_change()
 
     def note_change(self) -> None:
-        """Make `live` be worked out anew, and the generation grow."""
+        """Invalidate the cached result of `live` and raise the generation."""
         self._live = None
         self.generation += 1
 
 
 def is_live(state: members.MemberState) -> bool:
-    """Tell whether a member in this state may be given work."""
+    """Return whether a member in this state may be given work."""
     return state <= members.MemberState.SUSPECT
 
 
--- a/src/amaranthslip/members/rumours.py
+++ b/src/amaranthslip/members/rumours.py
@@ -1,4 +1,4 @@
-"""News on its way through the fleet, each passed on a few times."""
+"""Gossip queue: each piece of news is sent a limited number of times."""
 
 import heapq
 import math
@@ -6,23 +6,25 @@
 
 from amaranthslip.members import messages
 
-# Sends of one piece of news, for each power of ten of the fleet. SWIM's
-# paper proves that a multiple of log(n) reaches all with high probability;
-# four is the factor that its well-known implementations use.
+# Number of times that one piece of news is sent, for each power of ten of the
+# fleet size. The SWIM paper proves that a multiple of log(n) reaches all
+# members with high probability; well-known implementations use the factor 4.
 _SENDS_FACTOR = 4
-# Flat bytes of a piece of news besides its texts: one data word pair, four
-# pointers, the texts' ends and padding.
+# Uncompressed bytes of one piece of news without its texts: two data words,
+# four pointers, the terminators of the texts and padding.
 _FIXED_BYTES = 72
-# Some 15 pieces: with fewer, halves of a fleet take long to rejoin, and more
-# would take much of an instance's control traffic meanwhile.
-MOST_NEWS_BYTES = 1800
-# No message but a whole roster holds more: the rumours of one message, and
-# what is said of the receiver, the sender and one more.
-MOST_NEWS = MOST_NEWS_BYTES // _FIXED_BYTES + 3
+# Upper bound for the news in one message, about 15 pieces. With fewer, the
+# halves of a fleet take long to merge after a partition; more would use much
+# of an instance's control traffic while they merge.
+MAX_NEWS_BYTES = 1800
+# Upper bound of the pieces of news in any message that is not a whole roster:
+# the queued gossip, and one piece each about the receiver, the sender and one
+# other member.
+MAX_NEWS = MAX_NEWS_BYTES // _FIXED_BYTES + 3
 
 
-class _Rumour:
-    """One piece of news and how often it was passed on."""
+class _PendingNews:
+    """One piece of news and the number of times it was sent."""
 
     __slots__ = ('news', 'sends')
 
@@ -32,51 +34,54 @@
 
 
 class Rumours:
-    """The news that still has to be passed on, the newest for each name."""
+    """Queue of news to be gossiped, with the latest news of each member."""
 
-    __slots__ = ('_waiting',)
+    __slots__ = ('_pending',)
 
     def __init__(self) -> None:
-        self._waiting: dict[str, _Rumour] = {}
+        self._pending: dict[str, _PendingNews] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._pending)
 
     def put(self, news: messages.News) -> None:
-        """Begin to pass news on; it replaces older news of that member."""
-        self._waiting[news.name] = _Rumour(news)
+        """Queue news; it replaces queued news of the same member."""
+        self._pending[news.name] = _PendingNews(news)
 
     def take(self, fleet_size: int) -> list[messages.News]:
-        """Return what to put into one message, least passed on first.
+        """Return the news for one message, least often sent first.
 
         Parameters
         ----------
         fleet_size : int
-            Members known; the number of sends grows with its logarithm.
+            Number of known members. Each piece of news is sent a number of
+            times that grows with the logarithm of this size.
         """
-        most_sends = count_sends(fleet_size)
-        most = MOST_NEWS_BYTES // _FIXED_BYTES
-        chosen = heapq.nsmallest(most, self._waiting.values(), key=_read_sends)
+        max_sends = count_sends(fleet_size)
+        max_count = MAX_NEWS_BYTES // _FIXED_BYTES
+        chosen = heapq.nsmallest(
+            max_count, self._pending.values(), key=_read_sends
+        )
         news = []
-        left = MOST_NEWS_BYTES
-        for rumour in chosen:
-            left -= measure(rumour.news)
-            if left < 0:
+        left_bytes = MAX_NEWS_BYTES
+        for pending in chosen:
+            left_bytes -= estimate_size(pending.news)
+            if left_bytes < 0:
                 break
-            news.append(rumour.news)
-            rumour.sends += 1
-            if rumour.sends >= most_sends:
-                del self._waiting[rumour.news.name]
+            news.append(pending.news)
+            pending.sends += 1
+            if pending.sends >= max_sends:
+                del self._pending[pending.news.name]
         return news
 
 
 def count_sends(fleet_size: int) -> int:
-    """Return how often one member passes on one piece of news."""
+    """Return how often one member sends one piece of news."""
     return _SENDS_FACTOR * math.ceil(math.log10(fleet_size + 1))
 
 
-def measure(news: messages.News) -> int:
-    """Return about how many bytes a piece of news takes, not deflated."""
+def estimate_size(news: messages.News) -> int:
+    """Return the approximate size of a piece of news, uncompressed."""
     texts: typing.Iterable[str] = (
         news.name,
         news.address,
@@ -86,5 +91,5 @@
     return _FIXED_BYTES + sum(len(text) for text in texts)
 
 
-def _read_sends(rumour: _Rumour) -> int:
-    return rumour.sends
+def _read_sends(pending: _PendingNews) -> int:
+    return pending.sends
--- a/src/amaranthslip/members/seeds.py
+++ b/src/amaranthslip/members/seeds.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, as a hint to the members."""
+"""Discovery of members through the platform's list of instances."""
 
 import logging
 import random as random_
@@ -14,18 +14,18 @@
 
 
 class InstanceList(typing.Protocol):
-    """The platform's client of its list of instances."""
+    """Client of the platform's list of instances."""
 
     def read(self) -> list[members.Member]:
-        """Return the instances that the platform knows, with its lag."""
+        """Return the listed instances; the list may be minutes out of date."""
 
 
 class Seeds:
-    """Names from the platform's list that were not yet heard from.
+    """Names on the platform's list that are not yet in the roster.
 
-    The list lags by minutes, so that it decides nothing: a name on it is a
-    place to try, and `leaving` on it is passed on as news, once for each
-    incarnation, which the instance itself may contradict.
+    The list lags by minutes, so it is only a hint: a listed name is a member
+    to probe. An entry marked as leaving is applied as news once until the mark
+    or the entry disappears, and the instance itself may refute that news.
     """
 
     __slots__ = (
@@ -33,9 +33,9 @@
         '_roster',
         '_beliefs',
         '_outbox',
-        '_unheard',
-        '_untried',
-        '_told',
+        '_unknown',
+        '_unprobed',
+        '_announced',
     )
 
     def __init__(
@@ -49,75 +49,79 @@
         self._roster = roster
         self._beliefs = beliefs
         self._outbox = outbox
-        self._unheard: list[str] = []
-        self._untried: list[str] = []
-        self._told: dict[str, int] = {}
+        self._unknown: list[str] = []
+        self._unprobed: list[str] = []
+        self._announced: dict[str, int] = {}
 
     @property
-    def unheard(self) -> list[str]:
-        """Names on the list of which nothing was heard."""
-        return [n for n in self._unheard if self._roster.get(n) is None]
-
-    def next_untried(self) -> str | None:
-        """Return a name on the list that was not yet tried, once."""
-        while self._untried:
-            name = self._untried.pop()
+    def unknown(self) -> list[str]:
+        """Names on the list that are not in the roster."""
+        return [n for n in self._unknown if self._roster.get(n) is None]
+
+    def next_unprobed(self) -> str | None:
+        """Return a listed name that was not probed yet, or None.
+
+        Each name is returned once.
+        """
+        while self._unprobed:
+            name = self._unprobed.pop()
             if self._roster.get(name) is None:
                 return name
         return None
 
-    def draw_untried(self, count: int, random: random_.Random) -> list[str]:
-        """Return names on the list that were not yet tried, at random.
+    def draw_unprobed(self, count: int, random: random_.Random) -> list[str]:
+        """Return random listed names that were not probed yet.
 
-        Where a whole fleet starts at once, all else greet the same few.
+        Without the random choice, all instances of a fleet that starts at
+        once would probe the same few members.
         """
-        random.shuffle(self._untried)
-        drawn = (self.next_untried() for _ in range(count))
+        random.shuffle(self._unprobed)
+        drawn = (self.next_unprobed() for _ in range(count))
         return [name for name in drawn if name is not None]
 
     def refresh(self) -> None:
-        """Read the list once; an outage leaves what was known."""
+        """Read the list once; if it is unreachable, keep the previous one."""
         if self._list is None:
             return
         try:
             listed = self._list.read()
         except errors.PlatformError as error:
-            _LOG.info('instance_list_unread', extra={'error': error})
+            _LOG.info('instance_list_unreadable', extra={'error': error})
             return
-        self._forget_unlisted({member.name for member in listed})
+        self._remove_unlisted({member.name for member in listed})
         for member in listed:
-            self._take_in(member)
+            self._process_entry(member)
 
-    def _take_in(self, member: members.Member) -> None:
+    def _process_entry(self, member: members.Member) -> None:
         known = self._roster.get(member.name)
         if known is self._roster.member:
             return
         if known is None:
             self._outbox.set_address(member.name, member.address)
-            if member.name not in self._unheard:
-                self._unheard.append(member.name)
-                self._untried.append(member.name)
+            if member.name not in self._unknown:
+                self._unknown.append(member.name)
+                self._unprobed.append(member.name)
             return
         if member.state is members.MemberState.LEAVING:
-            self._tell_leaving(known)
+            self._announce_leaving(known)
         else:
-            self._told.pop(member.name, None)
+            self._announced.pop(member.name, None)
 
-    def _tell_leaving(self, known: members.Member) -> None:
-        # The list goes on saying that an instance leaves long after the
-        # next one started under its name. Said once for one incarnation,
-        # a contradiction of the instance itself stands.
-        if known.name in self._told:
+    def _announce_leaving(self, known: members.Member) -> None:
+        # The list shows an instance as leaving long after its successor has
+        # started under the same name. The state is applied only once, so a
+        # refutation by the instance itself remains in force.
+        if known.name in self._announced:
             return
-        self._told[known.name] = known.incarnation
+        self._announced[known.name] = known.incarnation
         news = beliefs_module.describe(known)
         news.state = int(members.MemberState.LEAVING)
         self._beliefs.learn(news)
 
-    def _forget_unlisted(self, names: set[str]) -> None:
-        for name in set(self._unheard) - names:
-            self._unheard.remove(name)
+    def _remove_unlisted(self, names: set[str]) -> None:
+        for name in set(self._unknown) - names:
+            self._unknown.remove(name)
             if self._roster.get(name) is None:
                 self._outbox.forget(name)
-        for name in set(self._told) - names:
-            del self._told[name]
+        for name in set(self._announced) - names:
+            del self._announced[name]
