--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -1,12 +1,12 @@
-Feature: Callers that leave free what worked for them
+Feature: The requests of disconnected callers release their resources
 
-  Scenario Outline: A caller that leaves while <stage> frees the engine
-    # Students close the page. An engine that goes on for nobody has a slot
-    # less for those who wait.
-    Given a relay before an engine that is <stage>
-    When a caller of the relay streams and leaves while <stage>
-    Then the work of the relay's caller is cancelled
-    And the relay counts a caller that left
+  Scenario Outline: A caller that disconnects while <stage> releases the engine
+    # Students close the page during a request. An engine that continues such
+    # a request has one slot less for the waiting requests.
+    Given a relay in front of an engine that is <stage>
+    When a caller of the relay starts a stream and disconnects while <stage>
+    Then the request of the relay's caller is cancelled
+    And the relay counts a disconnected caller
 
     Examples:
       | stage     |
@@ -14,21 +14,21 @@
       | silent    |
       | streaming |
 
-  Scenario: A caller that reads nothing does not hold a slot
-    Given a relay whose writes may wait 0.3 s, before an endless stream
-    When a caller of the relay streams and reads nothing
-    Then the work of the relay's caller is cancelled
+  Scenario: A caller that does not read its response holds no slot
+    Given a relay with a write timeout of 0.3 s and an endless stream
+    When a caller of the relay starts a stream and reads nothing
+    Then the request of the relay's caller is cancelled
 
-  Scenario: A booking whose caller leaves runs to its end
-    # A parent closes the page while the payment runs. It may have run, so
-    # it is let run, and its claim says so to whoever asks again.
-    Given a relay before a booking server that waits
-    When a caller of the relay books with a key and leaves
-    Then the relay settles the claim as DONE once the server answers
+  Scenario: A booking request continues after its caller disconnects
+    # A parent closes the page during a payment. The payment may already have
+    # been made, so it continues, and its claim gives the outcome to a retry.
+    Given a relay in front of a booking server that delays its response
+    When a caller of the relay sends a booking with a key and disconnects
+    Then the relay settles the claim as DONE once the server responds
 
-  Scenario: A slot is free with the last token, not with the connection's end
-    # The engine is done, but the end of its answer is slow to come. Held
-    # until then, the slot would idle while others wait.
-    Given a relay before an engine that withholds the end of its connection
+  Scenario: A slot is released after the last token, not with the connection
+    # The engine has finished, but the end of its response arrives late. A
+    # slot held until then would be idle while other requests wait.
+    Given a relay in front of an engine that keeps its connection open
     When a caller of the relay reads its stream up to "[DONE]"
-    Then the relay has given the slot back as DONE
+    Then the relay has released the slot as DONE
--- a/tests/features/steps/health.py
+++ b/tests/features/steps/health.py
@@ -1,4 +1,4 @@
-"""Steps about the health of backend servers, and their load reports."""
+"""Steps for the health of backend servers and for their load reports."""
 
 import random
 
@@ -62,7 +62,7 @@
         context.now[0] += 0.01
         assert context.now[0] - start < high + 0.1
     assert context.now[0] - start >= low
-    context.open = context.now[0]
+    context.readmitted_at = context.now[0]
 
 
 def _probe(context, name, outcome):
@@ -93,15 +93,15 @@
     context.health.record(name, _CANCELLED)
 
 
-@behave.then('health admits requests to "{name}" again, as to any other')
-def check_back(context, name):
+@behave.then('health admits concurrent requests to "{name}" again')
+def check_readmitted(context, name):
     for _ in range(5):
         assert context.health.admits(name)
         context.health.begin(name)
 
 
 @behave.then('the next ejection of "{name}" lasts {low:d} to {high:d} s')
-def check_forgotten(context, name, low, high):
+def check_next_ejection(context, name, low, high):
     context.health.record(name, _DONE)
     _fail(context, name, 3)
     check_ejected(context, name, low, high)
@@ -112,15 +112,15 @@
     context.now[0] += 2
 
 
-@behave.then('health admits one request to "{name}" and no second beside it')
-def check_one(context, name):
+@behave.then('health admits exactly one request to "{name}" at a time')
+def check_single_probe(context, name):
     assert context.health.admits(name)
     context.health.begin(name)
     assert not context.health.admits(name)
 
 
-@behave.when('the probe of "{name}" is lost for good')
-def lose_probe(context, name):
+@behave.when('the probe of "{name}" has no outcome after 59 s')
+def delay_probe(context, name):
     context.now[0] += 59
     assert not context.health.admits(name)
 
@@ -128,11 +128,11 @@
 @behave.then('health admits one request to "{name}" after a minute')
 def check_after_minute(context, name):
     context.now[0] += 1
-    check_one(context, name)
+    check_single_probe(context, name)
 
 
-@behave.when('an older request to "{name}" ends well')
-def end_older(context, name):
+@behave.when('a request to "{name}" from before the ejection succeeds')
+def succeed_older(context, name):
     context.health.record(name, _DONE)
 
 
@@ -145,7 +145,7 @@
 @behave.then(
     "health still admits requests to {count:d} of the service's servers"
 )
-def check_left(context, count):
+def check_still_admitted(context, count):
     admitted = [each for each in context.names if context.health.admits(each)]
     assert len(admitted) == count, admitted
     assert context.health.admits('other-1')
@@ -161,28 +161,28 @@
 @behave.given('the health of one failed server at {count:d} instances')
 def start_many(context, count):
     context.now = [0.0]
-    context.many = []
+    context.instances = []
     for seed in range(count):
         each = _build(seed, clock=lambda: context.now[0])
         each.set_service(['a', 'b'])
         for _ in range(3):
             each.record('a', _FAILED)
-        context.many.append(each)
+        context.instances.append(each)
 
 
-@behave.then('the ejections at these instances end at many moments')
+@behave.then('the ejections at these instances end at different moments')
 def check_spread(context):
     admitting = []
     for step in range(1, 21):
         context.now[0] = step * 0.1
-        admitting.append(sum(each.admits('a') for each in context.many))
-    assert admitting[9] < 5 and admitting[-1] == len(context.many)
+        admitting.append(sum(each.admits('a') for each in context.instances))
+    assert admitting[9] < 5 and admitting[-1] == len(context.instances)
     grown = [b - a for a, b in zip(admitting, admitting[1:])]
-    assert max(grown) < 0.3 * len(context.many), admitting
+    assert max(grown) < 0.3 * len(context.instances), admitting
 
 
 class _Histories(stateful.RuleBasedStateMachine):
-    """Random grants, ends and waits against what health promises."""
+    """Checks the invariants of health under random grants, ends and waits."""
 
     def __init__(self):
         super().__init__()
@@ -227,9 +227,9 @@
                 assert not self.health.admits(name)
 
 
-@behave.when('health is driven through many random histories')
-def drive(context):
-    context.driven = 0
+@behave.when('health runs through many random histories')
+def run_histories(context):
+    context.histories = 0
     settings = hypothesis.settings(
         derandomize=True,
         max_examples=150,
@@ -238,12 +238,12 @@
         database=None,
     )
     stateful.run_state_machine_as_test(_Histories, settings=settings)
-    context.driven = 150
+    context.histories = 150
 
 
-@behave.then('no history breaks the fraction or admits two probes')
-def check_driven(context):
-    assert context.driven == 150
+@behave.then('no history exceeds the ejection fraction or admits two probes')
+def check_histories(context):
+    assert context.histories == 150
 
 
 def _start_poller(context, servers):
@@ -310,8 +310,8 @@
     context.reports.clear()
 
 
-@behave.then('the poller asks only that one')
-def check_asks_one(context):
+@behave.then('the poller polls only that engine')
+def check_polls_one(context):
     exchanges.wait_until(lambda: len(context.reports) >= 5)
     assert {each.server for each in context.reports} == {'e1'}
 
@@ -332,7 +332,7 @@
     _start_poller(context, servers)
 
 
-@behave.then('the poller reports the stand-in engine only, again and again')
+@behave.then('the poller repeatedly reports only the stand-in engine')
 def check_broken(context):
     exchanges.wait_until(lambda: len(context.reports) >= 5)
     exchanges.wait_until(lambda: len(context.broken.requests) >= 3)
--- a/tests/features/steps/leaving.py
+++ b/tests/features/steps/leaving.py
@@ -1,4 +1,4 @@
-"""Steps about callers that leave, or read nothing."""
+"""Steps for callers that disconnect or do not read their response."""
 
 import behave
 import gevent
@@ -10,9 +10,9 @@
 from tests.support import sides
 
 
-@behave.given('a relay before an engine that is {stage}')
+@behave.given('a relay in front of an engine that is {stage}')
 def start_stage(context, stage):
-    context.left = event.Event()
+    context.disconnected = event.Event()
     if stage == 'streaming':
         engine = sides.add(context, exchanges.Engine(step=0.01))
         context.engine = engine.engine
@@ -22,7 +22,7 @@
     def follow(script, sock):
         script.read(sock)
         assert sock.recv(1) == b''
-        context.left.set()
+        context.disconnected.set()
 
     context.engine = None
     context.script = sides.add_script(context, follow)
@@ -31,8 +31,10 @@
         side.scheduler.gate.clear()
 
 
-@behave.when('a caller of the relay streams and leaves while {stage}')
-def leave(context, stage):
+@behave.when(
+    'a caller of the relay starts a stream and disconnects while {stage}'
+)
+def disconnect(context, stage):
     caller = exchanges.Caller(context.side.address)
     values = exchanges.write_chat('LENGTH=2000', stream=True)
     caller.send(
@@ -49,7 +51,7 @@
     caller.close()
 
 
-@behave.then("the work of the relay's caller is cancelled")
+@behave.then("the request of the relay's caller is cancelled")
 def check_cancelled(context):
     scheduler = context.side.scheduler
     exchanges.wait_until(lambda: scheduler.tickets)
@@ -60,22 +62,22 @@
     exchanges.wait_until(lambda: scheduler.in_use == 0)
     assert scheduler.grants[0].outcome is outcomes.Outcome.CANCELLED
     if context.engine is None:
-        assert context.left.wait(20)
+        assert context.disconnected.wait(20)
     else:
         exchanges.wait_until(lambda: context.engine.cancelled == 1)
 
 
-@behave.then('the relay counts a caller that left')
+@behave.then('the relay counts a disconnected caller')
 def check_counted(context):
     read = context.side.metrics.read
     exchanges.wait_until(lambda: read('requests', 'caller_left') == 1)
 
 
 @behave.given(
-    'a relay whose writes may wait {seconds:f} s, before an endless stream'
+    'a relay with a write timeout of {seconds:f} s and an endless stream'
 )
 def start_endless(context, seconds):
-    context.left = event.Event()
+    context.disconnected = event.Event()
 
     def follow(script, sock):
         script.read(sock)
@@ -85,7 +87,7 @@
             while True:
                 sock.sendall(data)
         except OSError:
-            context.left.set()
+            context.disconnected.set()
 
     context.engine, context.stage = None, 'endless'
     script = sides.add_script(context, follow)
@@ -93,7 +95,7 @@
     sides.start(context, engines=[script.address], limits=limits)
 
 
-@behave.when('a caller of the relay streams and reads nothing')
+@behave.when('a caller of the relay starts a stream and reads nothing')
 def read_nothing(context):
     values = exchanges.write_chat('x', stream=True)
     sides.connect(context).send(
@@ -101,7 +103,7 @@
     )
 
 
-@behave.given('a relay before a booking server that waits')
+@behave.given('a relay in front of a booking server that delays its response')
 def start_booking(context):
     context.release = event.Event()
 
@@ -114,8 +116,10 @@
     sides.start(context, plain=[context.script.address])
 
 
-@behave.when('a caller of the relay books with a key and leaves')
-def book_and_leave(context):
+@behave.when(
+    'a caller of the relay sends a booking with a key and disconnects'
+)
+def book_and_disconnect(context):
     caller = exchanges.Caller(context.side.address)
     caller.send(
         exchanges.write_request(
@@ -126,7 +130,7 @@
     caller.close()
 
 
-@behave.then('the relay settles the claim as DONE once the server answers')
+@behave.then('the relay settles the claim as DONE once the server responds')
 def check_settled(context):
     claim = context.side.claims.claimed['escola-sol', 'k']
     gevent.sleep(0.05)
@@ -137,15 +141,13 @@
     assert len(context.script.requests) == 1
 
 
-@behave.given(
-    'a relay before an engine that withholds the end of its connection'
-)
-def start_withholding(context):
+@behave.given('a relay in front of an engine that keeps its connection open')
+def start_open_connection(context):
     def follow(script, sock):
         script.read(sock)
         data = exchanges.write_chunk(b'data: {"x":1}\n\ndata: [DONE]\n\n')
         sock.sendall(exchanges.STREAM_HEAD + data)
-        # Until the relay closes the connection.
+        # Blocks until the relay closes the connection.
         sock.recv(1)
 
     script = sides.add_script(context, follow)
@@ -153,7 +155,7 @@
 
 
 @behave.when('a caller of the relay reads its stream up to "[DONE]"')
-def read_to_end(context):
+def read_to_done(context):
     values = exchanges.write_chat('x', stream=True)
     caller = sides.connect(context)
     caller.send(
@@ -162,8 +164,8 @@
     caller.read_until(b'[DONE]')
 
 
-@behave.then('the relay has given the slot back as DONE')
-def check_given_back(context):
+@behave.then('the relay has released the slot as DONE')
+def check_released(context):
     scheduler = context.side.scheduler
     assert scheduler.in_use == 0
     assert scheduler.grants[0].outcome is outcomes.Outcome.DONE
--- a/tests/features/steps/members.py
+++ b/tests/features/steps/members.py
@@ -1,4 +1,4 @@
-"""Steps about membership."""
+"""Steps for membership and rendezvous hashing."""
 
 import itertools
 import json
@@ -58,9 +58,9 @@
 
 
 @behave.given(
-    'a fleet of {count:d} members whose list also names two that are gone'
+    'a fleet of {count:d} members whose list also has two removed instances'
 )
-def open_fleet_with_ghosts(context, count):
+def open_fleet_with_removed(context, count):
     _open(context, count)
     context.fleet.list_all()
     context.fleet.list.members += [
@@ -72,7 +72,7 @@
     _wait_agreement(context, context.fleet_names)
 
 
-@behave.given('a member "{name}" in a process of its own')
+@behave.given('a member "{name}" in a separate process')
 def open_process(context, name):
     command = [sys.executable, '-m', 'tests.support.member_process', name]
     for other, member in context.fleet.members.items():
@@ -86,8 +86,8 @@
     )
     context.add_cleanup(_end_process, context.process)
     assert context.process.stdout.readline()
-    context.everyone = context.fleet_names | {name}
-    _wait_everyone(context)
+    context.expected_live = context.fleet_names | {name}
+    _wait_all_live(context)
 
 
 def _end_process(process):
@@ -95,13 +95,13 @@
     process.wait()
 
 
-def _wait_everyone(context):
+def _wait_all_live(context):
     link_pair.wait_for(
         lambda: all(
-            member.read_live() == context.everyone
+            member.read_live() == context.expected_live
             for member in context.fleet.members.values()
         ),
-        'the process among the members',
+        'every member to list the process as live',
     )
 
 
@@ -116,7 +116,9 @@
     context.fleet.members.pop(name).close()
 
 
-@behave.when('member "{name}" dies and comes back with its clock an hour back')
+@behave.when(
+    'member "{name}" dies and restarts with its clock set back an hour'
+)
 def restart_member(context, name):
     context.fleet.members.pop(name).close()
     context.fleet.add(name, wall_seconds=time.time() - 3600).detector.start()
@@ -127,34 +129,38 @@
     context.fleet.members[name].detector.leave()
 
 
-@behave.when('a partition holds "{first}" apart from "{second}"')
+@behave.when('a partition separates "{first}" from "{second}"')
 def make_partition(context, first, second):
     sides = set(first.split()), set(second.split())
-    context.ways = context.fleet.between(*sides)
-    for way in context.ways:
-        way.refuse()
-        way.cut()
+    context.forwarders = context.fleet.between(*sides)
+    for forwarder in context.forwarders:
+        forwarder.refuse()
+        forwarder.cut()
 
 
 @behave.when('the partition between members heals')
 def heal_partition(context):
-    for way in context.ways:
-        way.heal()
+    for forwarder in context.forwarders:
+        forwarder.heal()
 
 
-@behave.when('everything from member "{first}" to member "{second}" is lost')
+@behave.when(
+    'all messages from member "{first}" to member "{second}" are lost'
+)
 def lose_one_way(context, first, second):
-    way = context.fleet.ways[first, second]
-    way.up.drop = True
+    forwarder = context.fleet.forwarders[first, second]
+    forwarder.up.drop = True
 
 
-@behave.when('everything to and from member "{name}" takes {seconds:g} s')
+@behave.when(
+    'all messages to and from member "{name}" are delayed by {seconds:g} s'
+)
 def slow_member(context, name, seconds):
-    for way in context.fleet.between({name}, context.fleet_names):
-        way.up.delay_seconds = seconds
+    for forwarder in context.fleet.between({name}, context.fleet_names):
+        forwarder.up.delay_seconds = seconds
 
 
-@behave.when('the members have probed {count:d} times each')
+@behave.when('each member has sent {count:d} more probes')
 def wait_probes(context, count):
     def read(member):
         return member.metrics.read('control_messages', 'Probe')
@@ -167,12 +173,12 @@
             read(member) >= before[name] + count
             for name, member in context.fleet.members.items()
         ),
-        'probes',
+        'each member to send its probes',
     )
 
 
 @behave.when(
-    'the process of member "{name}" is stopped until the others drop it'
+    'the process of member "{name}" is stopped until all members drop it'
 )
 def stop_process(context, name):
     context.process.send_signal(signal.SIGSTOP)
@@ -181,21 +187,21 @@
             name not in member.read_live()
             for member in context.fleet.members.values()
         ),
-        'the stopped process dropped',
+        'every member to drop the stopped process',
     )
 
 
-@behave.when('the process of member "{name}" goes on')
+@behave.when('the process of member "{name}" resumes')
 def continue_process(context, name):
     context.process.send_signal(signal.SIGCONT)
 
 
-@behave.when('a member "{name}" that the list does not name starts')
+@behave.when('a member "{name}" that is not on the list starts')
 def start_unlisted(context, name):
     context.fleet.add(name).detector.start()
 
 
-@behave.when('the platform\'s list says that member "{name}" is leaving')
+@behave.when('the platform\'s list marks member "{name}" as leaving')
 def list_leaving(context, name):
     address = context.fleet.members[name].links.address
     context.fleet.list.members = [
@@ -220,7 +226,7 @@
     assert counted <= most, counted
 
 
-@behave.then('the others count a restart of "{name}"')
+@behave.then('the other members count one restart of "{name}"')
 def check_restart(context, name):
     others = [
         member
@@ -229,33 +235,35 @@
     ]
     link_pair.wait_for(
         lambda: all(member.count('restarted') for member in others),
-        'the restart seen',
+        'every other member to count the restart',
     )
     wait_probes(context, 8)
     for member in others:
         assert member.count('restarted') == 1, member.name
 
 
-@behave.then('no member counts a restart')
+@behave.then('every member counts a returned member and no restart')
 def check_no_restart(context):
     for member in context.fleet.members.values():
         assert member.count('restarted') == 0
         assert member.count('returned') >= 1
 
 
-@behave.then('the other members soon give "{name}" no work')
-def check_left(context, name):
+@behave.then('the other members remove "{name}" from their live members')
+def check_removed(context, name):
     others = context.fleet_names - {name}
     link_pair.wait_for(
         lambda: all(
             context.fleet.members[other].read_live() == others
             for other in others
         ),
-        'the leaving member out of use',
+        'the leaving member to be removed from the live members',
     )
 
 
-@behave.then('member "{name}" is still answered and not declared dead')
+@behave.then(
+    'member "{name}" stays in the state leaving and is not declared dead'
+)
 def check_leaving(context, name):
     wait_probes(context, 12)
     assert not _read_deaths(context)
@@ -264,28 +272,29 @@
         assert state is members.MemberState.LEAVING, (other, state)
 
 
-@behave.then('the members take "{name}" back')
-def check_back(context, name):
-    _wait_everyone(context)
+@behave.then('the members list "{name}" as live again')
+def check_live_again(context, name):
+    _wait_all_live(context)
 
 
 @behave.then(
-    'the process of "{name}" noticed its pause and declared nobody dead'
+    'the process of "{name}" detected its pause and declared no member dead'
 )
 def check_pause(context, name):
     link_pair.wait_for(
-        lambda: _ask_process(context)['refuted_own'] >= 1, 'a refutation'
+        lambda: _ask_process(context)['refuted_own'] >= 1,
+        'the process to refute its suspicion',
     )
     counts = _ask_process(context)
     assert counts['paused'] >= 1, counts
     assert counts['died'] == 0, counts
-    assert set(counts['live']) == context.everyone, counts
+    assert set(counts['live']) == context.expected_live, counts
     for member in context.fleet.members.values():
         assert member.count('died') <= 1
 
 
-@behave.then('no member ever had the gone ones in its roster')
-def check_no_ghosts(context):
+@behave.then('no member has the removed instances in its roster')
+def check_no_removed(context):
     wait_probes(context, 15)
     for member in context.fleet.members.values():
         names = {observed.name for observed in member.roster}
@@ -293,8 +302,8 @@
         assert member.count('died') == 0
 
 
-@behave.then('member "{name}" contradicts once and all members agree')
-def check_contradiction(context, name):
+@behave.then('member "{name}" refutes the mark once and all members agree')
+def check_refutation(context, name):
     member = context.fleet.members[name]
     first = member.member.incarnation
     link_pair.wait_for(
@@ -303,7 +312,7 @@
             and other.read_live() == context.fleet_names
             for other in context.fleet.members.values()
         ),
-        'the contradiction believed',
+        'every member to accept the refutation',
     )
     wait_probes(context, 8)
     raised = member.member.incarnation
@@ -314,12 +323,13 @@
     assert context.fleet.agrees(context.fleet_names)
 
 
-@behave.then('each member hears version {version:d} of every other one')
+@behave.then('each member receives version {version:d} from every other one')
 def check_versions(context, version):
     for name, member in context.fleet.members.items():
         others = context.fleet_names - {name}
         link_pair.wait_for(
-            lambda: member.versions.keys() >= others, 'versions'
+            lambda: member.versions.keys() >= others,
+            'the versions of all other members',
         )
         assert set(member.versions.values()) == {version}
 
@@ -337,22 +347,20 @@
     }
 
 
-@behave.when('one of the member names goes')
-def drop_name(context):
-    context.gone = context.picked_names.pop(7)
+@behave.when('one of the member names is removed')
+def remove_name(context):
+    context.removed_name = context.picked_names.pop(7)
 
 
-@behave.then('only the keys that it was picked for have a new pick')
+@behave.then('only the keys of the removed name get a new pick')
 def check_moves(context):
     for key, before in context.picks.items():
         after = rendezvous.pick(key, context.picked_names, 4)
-        stayed = [name for name in before if name != context.gone]
+        stayed = [name for name in before if name != context.removed_name]
         assert after[: len(stayed)] == stayed
 
 
-@behave.then(
-    'each member name was picked for its share of keys within a third'
-)
+@behave.then('each member name has its share of the keys within a third')
 def check_shares(context):
     share = 4 * len(context.picks) / (len(context.picked_names) + 1)
     for name in context.picked_names:
@@ -361,9 +369,9 @@
 
 
 @behave.given(
-    '{count:d} virtual members, the halves of which parted for {seconds:d} s'
+    '{count:d} virtual members whose halves were partitioned for {seconds:d} s'
 )
-def part_virtual(context, count, seconds):
+def partition_virtual(context, count, seconds):
     context.network = virtual_fleet.Network(seed=1)
     names = [f'm{index}' for index in range(count)]
     listed = members_machine.StaleList()
@@ -384,7 +392,9 @@
         assert (name in first) == (member.read_live() == sorted(first))
 
 
-@behave.when('the network of the virtual members heals for {seconds:d} s')
+@behave.when(
+    'the network of the virtual members has been healed for {seconds:d} s'
+)
 def heal_virtual(context, seconds):
     context.network.heal()
     context.network.advance(seconds)
@@ -398,7 +408,7 @@
         assert member.read_live() == names, (member.name, member.read_live())
 
 
-def _sleep_suspecting(offset):
+def _pause_suspecting(offset):
     network = virtual_fleet.Network(seed=1)
     names = ('m0', 'm1', 'm2')
     listed = members_machine.StaleList()
@@ -427,11 +437,11 @@
 
 
 @behave.when(
-    'm0 suspects m1 and sleeps 30 s, begun at {count:d} points of its period'
+    'm0 suspects m1 and is paused for 30 s at {count:d} points of its period'
 )
-def sleep_suspecting(context, count):
+def pause_suspecting(context, count):
     context.deaths = [
-        _sleep_suspecting(offset=index / count) for index in range(count)
+        _pause_suspecting(offset=index / count) for index in range(count)
     ]
 
 
@@ -451,7 +461,8 @@
         stateful_step_count=steps,
         deadline=None,
         database=None,
-        # Shrinking a run of virtual minutes takes longer than CI may.
+        # Shrinking is off: a run covers minutes of virtual time, and shrinking
+        # it takes longer than the time limit of CI.
         phases=[hypothesis.Phase.generate],
         suppress_health_check=list(hypothesis.HealthCheck),
     )
@@ -463,12 +474,12 @@
         context.machine_error = error
 
 
-@behave.then('no run of the membership machine broke its oracle')
+@behave.then('no run of the membership state machine violated its oracle')
 def check_machine(context):
     assert context.machine_error is None, context.machine_error
 
 
-@behave.when('{count:d} virtual members that the list names start together')
+@behave.when('{count:d} virtual members on the list start together')
 def start_listed(context, count):
     context.network = virtual_fleet.Network(seed=1)
     names = [f'm{index}' for index in range(count)]
@@ -482,6 +493,6 @@
 
 
 @behave.then('all {count:d} virtual members agree after {seconds:g} s')
-def check_soon(context, count, seconds):
+def check_virtual_after(context, count, seconds):
     context.network.advance(seconds)
     check_virtual(context, count)
--- a/tests/support/live_fleet.py
+++ b/tests/support/live_fleet.py
@@ -1,4 +1,4 @@
-"""Members in one process over real sockets, with a forwarder each way."""
+"""Members in one process over real sockets, with a forwarder per direction."""
 
 import contextlib
 import time
@@ -13,7 +13,7 @@
 from standins import proxy
 from tests.support import member_settings
 
-# A fifth of the defaults.
+# A fifth of the default times.
 TIMES = {
     'probe_seconds': 0.2,
     'probe_timeout_seconds': 0.1,
@@ -22,7 +22,7 @@
 
 
 class InstanceList:
-    """The platform's list, as a test lets it stand."""
+    """The platform's list of instances, with content set by the test."""
 
     def __init__(self) -> None:
         self.members: list[members.Member] = []
@@ -32,7 +32,7 @@
 
 
 class LiveMember:
-    """One start of an instance: links, roster and detector."""
+    """Links, roster and detector of one start of an instance."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
 
 
 class LiveFleet:
-    """Members by name; each pair may have a forwarder of its own each way."""
+    """Members by name, with an optional forwarder per pair and direction."""
 
     def __init__(
         self, names: typing.Sequence[str], *, forwarded: bool = True
@@ -98,30 +98,30 @@
         self.stack = contextlib.ExitStack()
         self.list = InstanceList()
         self.members: dict[str, LiveMember] = {}
-        self.ways: dict[tuple[str, str], proxy.Listener] = {}
-        self._forwarder = self.stack.enter_context(proxy.Proxy())
+        self.forwarders: dict[tuple[str, str], proxy.Listener] = {}
+        self._proxy = self.stack.enter_context(proxy.Proxy())
         self._via: dict[str, dict[str, str]] = {name: {} for name in names}
         for name in names:
             self.add(name)
         for first in names:
             for second in names:
                 if forwarded and first != second:
-                    self._open_way(first, second)
+                    self._open_forwarder(first, second)
 
     def add(self, name: str, **options: typing.Any) -> LiveMember:
-        """Start the links of a member, new or in another one's place."""
+        """Start the links of a new member, or of one that replaces another."""
         via = self._via.setdefault(name, {})
         given = options.pop('instance_list', self.list)
         member = LiveMember(name, given, via=via, **options)
         self.members[name] = member
         self.stack.callback(member.close)
-        for (_, second), way in self.ways.items():
+        for (_, second), forwarder in self.forwarders.items():
             if second == name:
-                way.target = member.links.address
+                forwarder.target = member.links.address
         return member
 
     def list_all(self) -> None:
-        """Make the platform's list name everyone."""
+        """Put all members on the platform's list."""
         self.list.members = [
             build_listed(name, member.links.address)
             for name, member in self.members.items()
@@ -135,24 +135,24 @@
     def between(
         self, first: set[str], second: set[str]
     ) -> list[proxy.Listener]:
-        """Return the forwarders from one side to the other, both ways."""
+        """Return the forwarders between two sets of members, both ways."""
         return [
-            way
-            for (one, other), way in self.ways.items()
+            forwarder
+            for (one, other), forwarder in self.forwarders.items()
             if (one in first and other in second)
             or (one in second and other in first)
         ]
 
     def agrees(self, names: set[str]) -> bool:
-        """Tell whether these see just one another as live."""
+        """Return whether each of these members lists exactly them as live."""
         return all(self.members[name].read_live() == names for name in names)
 
-    def _open_way(self, first: str, second: str) -> None:
-        way = self._forwarder.listen(
+    def _open_forwarder(self, first: str, second: str) -> None:
+        forwarder = self._proxy.listen(
             self.members[second].links.address, name=f'{first}>{second}'
         )
-        self.ways[first, second] = way
-        self._via[first][second] = way.address
+        self.forwarders[first, second] = forwarder
+        self._via[first][second] = forwarder.address
 
 
 def build_listed(
@@ -161,7 +161,7 @@
     *,
     state: members.MemberState = members.MemberState.ALIVE,
 ) -> members.Member:
-    """Return an entry of the platform's list: it knows no incarnation."""
+    """Return an entry of the platform's list, which has no incarnation."""
     return members.Member(
         name=name,
         incarnation=0,
--- a/tests/support/member_process.py
+++ b/tests/support/member_process.py
@@ -1,7 +1,8 @@
-"""One member as a process of its own, for tests that stop it by a signal.
+"""One member in a separate process, for tests that stop it by a signal.
 
-Reads names and addresses of others from its arguments, prints its address,
-then its counters as JSON for each line on its standard input.
+The arguments are the name of the member, then name=address of each other
+member. The process prints its address, and then its counters as JSON for each
+line that it reads from standard input.
 """
 
 import json
--- a/tests/support/member_settings.py
+++ b/tests/support/member_settings.py
@@ -1,4 +1,4 @@
-"""Settings of members in tests, with short times."""
+"""Settings of members for tests."""
 
 import typing
 
@@ -14,7 +14,7 @@
     members: dict[str, typing.Any] | None = None,
     peers: str = '127.0.0.1:0',
 ) -> settings.Settings:
-    """Return checked settings of an instance on free loopback ports."""
+    """Return validated settings of an instance on free loopback ports."""
     unused = '127.0.0.1:0'
     return settings.check_settings(
         {
--- a/tests/support/members_machine.py
+++ b/tests/support/members_machine.py
@@ -1,4 +1,4 @@
-"""A Hypothesis state machine over the membership of a small fleet."""
+"""Hypothesis state machine for the membership of a small fleet."""
 
 import itertools
 import typing
@@ -15,12 +15,12 @@
 
 
 class StaleList:
-    """The platform's list: every name, whatever became of it.
+    """The platform's list with all names, including stopped instances.
 
     Parameters
     ----------
     names : sequence of str
-        Of the members.
+        Names of the listed members.
     """
 
     def __init__(self, names: typing.Sequence[str] = _NAMES) -> None:
@@ -40,11 +40,11 @@
 
 
 class MembersMachine(stateful.RuleBasedStateMachine):
-    """Instances start, stop, sleep, leave and lose one another.
+    """Instances start, stop, pause, leave and are partitioned at random.
 
-    Oracle: once faults end, each running instance believes exactly the
-    running ones that did not leave to be alive. No roster ever goes back
-    to a lower incarnation: `WatchedRoster` fails at once.
+    Oracle: after the faults end, each running instance lists exactly the
+    running instances that did not leave as live. Incarnations never decrease
+    in any roster; `WatchedRoster` fails as soon as one does.
     """
 
     def __init__(self) -> None:
@@ -124,7 +124,7 @@
 
     @stateful.rule()
     def heal(self):
-        """End all faults; what the fleet then believes must be true."""
+        """End all faults, then check the live members of each instance."""
         self.network.heal()
         for member in list(self.network.running.values()):
             if member.clock.paused:
--- a/tests/support/virtual_fleet.py
+++ b/tests/support/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Detectors in one process, with a virtual clock and in-memory delivery."""
+"""Membership detectors in one process, with virtual time and delivery."""
 
 import heapq
 import itertools
@@ -20,17 +20,17 @@
 from tests.support import member_settings
 
 _WALL_START = 1_700_000_000.0
-_YIELDS = 3
+_GREENLET_YIELDS = 3
 Delivery = tuple[str, object]
 
 
-def _let_run() -> None:
-    for _ in range(_YIELDS):
+def _run_greenlets() -> None:
+    for _ in range(_GREENLET_YIELDS):
         gevent.sleep(0)
 
 
 class Network:
-    """Virtual time, and who reaches whom after how long."""
+    """Virtual clock, and message delivery with partitions, loss and delay."""
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
@@ -47,13 +47,13 @@
         heapq.heappush(self._events, (when, next(self._sequence), action))
 
     def advance(self, seconds: float) -> None:
-        """Run everything that is due, in the order of virtual time."""
+        """Run all events of the next seconds, in the order of virtual time."""
         until = self.now + seconds
-        _let_run()
+        _run_greenlets()
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
-            _let_run()
+            _run_greenlets()
         self.now = until
 
     def cut(self, pairs: typing.Iterable[tuple[str, str]]) -> None:
@@ -66,7 +66,7 @@
         self.delay = 0.001
 
     def disconnect(self, name: str) -> None:
-        """The connections of an instance that ended."""
+        """Drop all connections of an instance that has stopped."""
         self._connected = {p for p in self._connected if name not in p}
 
     def send(self, sender: 'VirtualMember', name: str, message: object):
@@ -88,50 +88,52 @@
 
 
 class MemberClock:
-    """A member's view of virtual time; while it is paused nothing wakes."""
+    """Virtual clock of one member; while paused, no sleep returns."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
         self.paused = False
-        self._late: list[event.Event] = []
+        self._due_sleeps: list[event.Event] = []
 
     def now(self) -> float:
         return self._network.now
 
     def sleep(self, seconds: float) -> None:
-        woken = event.Event()
+        wakeup = event.Event()
         self._network.call_at(
-            self._network.now + seconds, lambda: self._wake(woken)
+            self._network.now + seconds, lambda: self._wake(wakeup)
         )
-        woken.wait()
+        wakeup.wait()
 
     def resume(self) -> None:
         self.paused = False
-        for woken in self._late:
-            woken.set()
-        self._late.clear()
+        for wakeup in self._due_sleeps:
+            wakeup.set()
+        self._due_sleeps.clear()
 
-    def _wake(self, woken: event.Event) -> None:
+    def _wake(self, wakeup: event.Event) -> None:
         if self.paused:
-            self._late.append(woken)
+            self._due_sleeps.append(wakeup)
         else:
-            woken.set()
+            wakeup.set()
 
 
 class WatchedRoster(roster.Roster):
-    """A roster that fails the test when an incarnation runs backwards."""
+    """Roster that fails the test when an incarnation decreases."""
 
     __slots__ = ()
 
     def put(self, member: members.Member) -> None:
         old = self.get(member.name)
         if old is not None and member.incarnation < old.incarnation:
-            raise AssertionError(f'{member.name} went back at {self.member}')
+            raise AssertionError(
+                f'the incarnation of {member.name} decreased at {self.member}'
+            )
         super().put(member)
 
 
 class VirtualMember:
-    """One start of an instance: roster and detector, as in a process."""
+    """Roster and detector of one start of an instance."""
 
     def __init__(
         self,
@@ -158,7 +160,7 @@
         self.metrics = metrics.Metrics()
         self.roster = WatchedRoster(self.member)
         self._known: set[str] = set()
-        self._held: list[Delivery] = []
+        self._held_messages: list[Delivery] = []
         self.detector = detector.Detector(
             member_settings.build(name),
             self.roster,
@@ -197,7 +199,7 @@
             return
         for message in batch:
             if self.clock.paused:
-                self._held.append((sender, message))
+                self._held_messages.append((sender, message))
             else:
                 self.detector.receive(sender, message)
 
@@ -205,10 +207,10 @@
         self.clock.paused = True
 
     def resume(self) -> None:
-        """Go on: its timers run first, then what waited in its sockets."""
+        """Resume: run due timers first, then handle the held messages."""
         self.clock.resume()
-        _let_run()
-        held, self._held = self._held, []
+        _run_greenlets()
+        held, self._held_messages = self._held_messages, []
         for sender, message in held:
             self.detector.receive(sender, message)
 
