--- a/src/amaranthslip/members/beliefs.py
+++ b/src/amaranthslip/members/beliefs.py
@@ -90,14 +90,14 @@
         """Names of the dead members that are still remembered."""
         return list(self._died_at)
 
-    def learn(self, news: messages.News, *, spread: bool = True) -> bool:
+    def learn(self, news: messages.News, *, gossip: bool = True) -> bool:
         """Apply one piece of news; return True if it changed a state.
 
         Parameters
         ----------
         news : News
             The received state of one member.
-        spread : bool
+        gossip : bool
             Whether to gossip the news if it is new. A refutation of news
             about this instance itself is always gossiped.
         """
@@ -107,7 +107,7 @@
             return self._apply_own_news(news)
         known = self._roster.get(news.name)
         if known is None:
-            return self._add_member(news, spread)
+            return self._add_member(news, gossip)
         if not _supersedes(news, known):
             self._record_contradiction(news, known)
             return False
@@ -117,7 +117,7 @@
             # members dead. If such a member is alive here, the news only
             # starts a suspicion, which the member has time to refute.
             state = _SUSPECT
-        self._change_state(known, news, state, spread=spread)
+        self._change_state(known, news, state, gossip=gossip)
         return True
 
     def suspect(self, name: str) -> None:
@@ -165,7 +165,7 @@
 
         After a pause of the process every deadline has passed. Without the
         extension this instance would declare all suspects dead at once and
-        spread false news through the fleet.
+        gossip false news to the fleet.
 
         Parameters
         ----------
@@ -201,13 +201,13 @@
         that gossip left, at a bounded cost. Dead members are never repeated
         this way: an outdated death would remove a member that came back.
         """
-        news = self.rumours.take(len(self._roster))
+        news = self.rumours.select(len(self._roster))
         own = self._roster.member
         if own.state is _LEAVING:
             news.append(describe(own))
-        filler = self._next_live_member()
-        if filler.state is _ALIVE:
-            news.append(describe(filler))
+        additional = self._next_live_member()
+        if additional.state is _ALIVE:
+            news.append(describe(additional))
         return news
 
     def gather_all(self) -> list[messages.News]:
@@ -230,11 +230,11 @@
             )
 
     def _next_live_member(self) -> members.Member:
-        filler = next(self._live_members, None)
-        if filler is None:
+        additional = next(self._live_members, None)
+        if additional is None:
             self._live_members = iter(self._roster.live())
-            filler = next(self._live_members, self._roster.member)
-        return self._roster.get(filler.name) or self._roster.member
+            additional = next(self._live_members, self._roster.member)
+        return self._roster.get(additional.name) or self._roster.member
 
     def _apply_own_news(self, news: messages.News) -> bool:
         own = self._roster.member
@@ -262,7 +262,7 @@
         self.rumours.put(describe(own))
         return True
 
-    def _add_member(self, news: messages.News, spread: bool) -> bool:
+    def _add_member(self, news: messages.News, gossip: bool) -> bool:
         # News of an unknown member is useful only if it contains an address.
         # An unknown member that is dead need not be remembered.
         full = len(self._roster) >= _MAX_MEMBERS
@@ -270,7 +270,7 @@
             return False
         state = members.MemberState(news.state)
         member = _build_member(news, state)
-        self._store_member(member, spread)
+        self._store_member(member, gossip)
         self._record_event('joined', member)
         return True
 
@@ -290,13 +290,13 @@
         news: messages.News,
         state: members.MemberState,
         *,
-        spread: bool = True,
+        gossip: bool = True,
     ) -> None:
         member = _build_member(news, state, fallback=known)
-        self._store_member(member, spread)
+        self._store_member(member, gossip)
         self._record_event(_classify_event(known, member), member)
 
-    def _store_member(self, member: members.Member, spread: bool) -> None:
+    def _store_member(self, member: members.Member, gossip: bool) -> None:
         now = self._clock.now()
         self._suspicion_deadlines.pop(member.name, None)
         self._died_at.pop(member.name, None)
@@ -306,7 +306,7 @@
             self._died_at[member.name] = now
         self._roster.put(member)
         self._outbox.set_address(member.name, member.address)
-        if spread:
+        if gossip:
             self.rumours.put(describe(member))
 
     def _compute_deadline(self) -> float:
--- a/src/amaranthslip/members/detector.py
+++ b/src/amaranthslip/members/detector.py
@@ -405,9 +405,9 @@
     def _apply_news(self, news: typing.Sequence[messages.News]) -> None:
         # A whole roster contains nothing new to the fleet, so it is not
         # gossiped.
-        spread = len(news) <= rumours.MAX_NEWS
+        gossip = len(news) <= rumours.MAX_NEWS
         for item in news:
-            self._beliefs.learn(item, spread=spread)
+            self._beliefs.learn(item, gossip=gossip)
 
     def _sleep(self, seconds: float) -> None:
         before = self._clock.now()
--- a/src/amaranthslip/members/incarnations.py
+++ b/src/amaranthslip/members/incarnations.py
@@ -34,19 +34,19 @@
     return 0 <= incarnation < _LIMIT
 
 
-def raise_above(own: int, heard: int) -> int:
-    """Return an incarnation that supersedes `heard`.
+def raise_above(own: int, received: int) -> int:
+    """Return an incarnation that supersedes `received`.
 
     Parameters
     ----------
     own : int
         The instance's present incarnation.
-    heard : int
+    received : int
         The incarnation that peers believe in, at least as high as `own`.
     """
-    if start_of(heard) == start_of(own):
-        return heard + 1
-    # `heard` belongs to an earlier start under this name, when the clock was
-    # ahead. The result is a new start, not a refutation, so that the peers
-    # recognise the restart.
-    return (start_of(heard) + 1) << _REFUTATION_BITS
+    if start_of(received) == start_of(own):
+        return received + 1
+    # `received` belongs to an earlier start under this name, when the clock
+    # was ahead. The result is a new start, not a refutation, so that the
+    # peers recognise the restart.
+    return (start_of(received) + 1) << _REFUTATION_BITS
--- a/src/amaranthslip/members/rumours.py
+++ b/src/amaranthslip/members/rumours.py
@@ -48,7 +48,7 @@
         """Queue news; it replaces queued news of the same member."""
         self._pending[news.name] = _PendingNews(news)
 
-    def take(self, fleet_size: int) -> list[messages.News]:
+    def select(self, fleet_size: int) -> list[messages.News]:
         """Return the news for one message, least often sent first.
 
         Parameters
@@ -81,7 +81,7 @@
 
 
 def estimate_size(news: messages.News) -> int:
-    """Return the approximate size of a piece of news, uncompressed."""
+    """Return the approximate uncompressed bytes of a piece of news."""
     texts: typing.Iterable[str] = (
         news.name,
         news.address,
--- a/tests/features/leaving.feature
+++ b/tests/features/leaving.feature
@@ -1,9 +1,9 @@
 Feature: The requests of disconnected callers release their resources
 
-  Scenario Outline: A caller that disconnects while <stage> releases the engine
+  Scenario Outline: A disconnect while <stage> releases the engine
     # Students close the page during a request. An engine that continues such
     # a request has one slot less for the waiting requests.
-    Given a relay in front of an engine that is <stage>
+    Given a relay and an engine for the stage <stage>
     When a caller of the relay starts a stream and disconnects while <stage>
     Then the request of the relay's caller is cancelled
     And the relay counts a disconnected caller
--- a/tests/features/members.feature
+++ b/tests/features/members.feature
@@ -62,7 +62,7 @@
     Then the members list "m9" as live again
     And the process of "m9" detected its pause and declared no member dead
 
-  Scenario: A list of instances that is minutes old neither adds nor hides one
+  Scenario: An outdated list of instances neither adds nor hides an instance
     # The list still contains two removed instances, and not yet a new one.
     # The removed instances must get no work at any time; the new one, which
     # discovered the others through the list, must be known to all members.
--- a/tests/features/steps/leaving.py
+++ b/tests/features/steps/leaving.py
@@ -10,7 +10,7 @@
 from tests.support import sides
 
 
-@behave.given('a relay in front of an engine that is {stage}')
+@behave.given('a relay and an engine for the stage {stage}')
 def start_stage(context, stage):
     context.disconnected = event.Event()
     if stage == 'streaming':
--- a/tests/support/virtual_fleet.py
+++ b/tests/support/virtual_fleet.py
@@ -83,7 +83,7 @@
         target = self.running[name]
         self.call_at(
             self.now + self.delay,
-            lambda: target.take(sender.name, codec.decode(data)),
+            lambda: target.receive(sender.name, codec.decode(data)),
         )
 
 
@@ -194,7 +194,7 @@
             region=self.member.region,
         )
 
-    def take(self, sender: str, batch: list[object]) -> None:
+    def receive(self, sender: str, batch: list[object]) -> None:
         if self.network.running.get(self.name) is not self:
             return
         for message in batch:
