--- a/src/amaranthslip/capacity/engines.py
+++ b/src/amaranthslip/capacity/engines.py
@@ -40,7 +40,7 @@
 
     def __init__(self, server: document.ListedServer, now: float) -> None:
         self.server = server
-        self.queue = reading.ReadingQueue(now=now)
+        self.queue = reading.PrefillQueue(now=now)
         self.cached = reading.CachedPrompts()
         self.running = 0
         self.held = 0
--- a/src/amaranthslip/capacity/reading.py
+++ b/src/amaranthslip/capacity/reading.py
@@ -14,7 +14,7 @@
 # Assumed prefill rate of an engine in tokens a second, until responses have
 # been observed. It matters in the first seconds only: each response corrects
 # the estimate.
-FIRST_RATE = 25000.0
+INITIAL_RATE = 25000.0
 # Bounds of the estimated rate: a stalled engine must not drive the estimate to
 # zero for good, and a cache hit must not drive it towards infinity.
 _MIN_RATE = 2000.0
@@ -49,7 +49,7 @@
     tokens : float
         Prompt tokens of the request that the engine has to process.
     end : float
-        Value of `ReadingQueue.total` after the request was added.
+        Value of `PrefillQueue.total` after the request was added.
     sent : float
         Time in seconds at which the request was sent.
     ahead : float
@@ -80,7 +80,7 @@
         self.other = other
 
 
-class ReadingQueue:
+class PrefillQueue:
     """Prompt tokens sent to one engine, and an estimate of those processed.
 
     `total` counts the tokens sent. The estimate of the tokens processed grows
@@ -103,7 +103,7 @@
         '_unstarted',
     )
 
-    def __init__(self, *, now: float, rate: float = FIRST_RATE) -> None:
+    def __init__(self, *, now: float, rate: float = INITIAL_RATE) -> None:
         self.total = 0.0
         self.rate = rate
         self.congestion = 0.0
@@ -222,7 +222,7 @@
 
     An engine evicts the least recently used part once it has processed as many
     tokens since the last use of the part as its memory holds.
-    `ReadingQueue.total` counts these tokens for all instances.
+    `PrefillQueue.total` counts these tokens for all instances.
     """
 
     __slots__ = ('_last_used',)
@@ -254,7 +254,7 @@
         chain : sequence of str
             `Prompt.chain`.
         total : float
-            The engine's `ReadingQueue.total` now.
+            The engine's `PrefillQueue.total` now.
         room : float
             Tokens that the engine may have processed since the last use of a
             part without evicting it.
--- a/src/amaranthslip/capacity/slots.py
+++ b/src/amaranthslip/capacity/slots.py
@@ -118,9 +118,9 @@
         """
         if self._clock() < self.open_from:
             return 0
-        return max(0, self.allowance(fraction) - len(self.holdings))
+        return max(0, self.get_allowance(fraction) - len(self.holdings))
 
-    def allowance(self, fraction: float) -> int:
+    def get_allowance(self, fraction: float) -> int:
         """Return how many requests this owner may have in progress."""
         limit = self.limit.value
         fair_part = max(1, math.ceil(limit * fraction))
--- a/src/amaranthslip/members/detector.py
+++ b/src/amaranthslip/members/detector.py
@@ -180,7 +180,7 @@
         for member in self._choose_members(_LEAVE_PROBES, set()):
             self._send_probe(member.name)
 
-    def seed_roster(self) -> None:
+    def refresh_list(self) -> None:
         """Read the platform's list now, besides the periodic refresh."""
         self._seeds.refresh()
 
--- a/tests/features/steps/members.py
+++ b/tests/features/steps/members.py
@@ -210,7 +210,7 @@
         )
     ]
     for member in context.fleet.members.values():
-        member.detector.seed_roster()
+        member.detector.refresh_list()
 
 
 @behave.then('the members "{names}" agree on one another')
@@ -317,7 +317,7 @@
     wait_probes(context, 8)
     raised = member.member.incarnation
     for other in context.fleet.members.values():
-        other.detector.seed_roster()
+        other.detector.refresh_list()
     wait_probes(context, 8)
     assert member.member.incarnation == raised
     assert context.fleet.agrees(context.fleet_names)
--- a/tests/support/members_machine.py
+++ b/tests/support/members_machine.py
@@ -44,7 +44,7 @@
 
     Oracle: after the faults end, each running instance lists exactly the
     running instances that did not leave as live. Incarnations never decrease
-    in any roster; `WatchedRoster` fails as soon as one does.
+    in any roster; `MonotonicRoster` fails as soon as one does.
     """
 
     def __init__(self) -> None:
--- a/tests/support/virtual_fleet.py
+++ b/tests/support/virtual_fleet.py
@@ -83,7 +83,7 @@
         target = self.running[name]
         self.call_at(
             self.now + self.delay,
-            lambda: target.receive(sender.name, codec.decode(data)),
+            lambda: target.receive_batch(sender.name, codec.decode(data)),
         )
 
 
@@ -118,7 +118,7 @@
             wakeup.set()
 
 
-class WatchedRoster(roster.Roster):
+class MonotonicRoster(roster.Roster):
     """Roster that fails the test when an incarnation decreases."""
 
     __slots__ = ()
@@ -158,7 +158,7 @@
             region='rs-sul',
         )
         self.metrics = metrics.Metrics()
-        self.roster = WatchedRoster(self.member)
+        self.roster = MonotonicRoster(self.member)
         self._known: set[str] = set()
         self._held_messages: list[Delivery] = []
         self.detector = detector.Detector(
@@ -194,7 +194,7 @@
             region=self.member.region,
         )
 
-    def receive(self, sender: str, batch: list[object]) -> None:
+    def receive_batch(self, sender: str, batch: list[object]) -> None:
         if self.network.running.get(self.name) is not self:
             return
         for message in batch:
