--- a/src/amaranthslip/entry/__init__.py
+++ b/src/amaranthslip/entry/__init__.py
@@ -1,4 +1,4 @@
-"""Entry: callers' HTTP, and the relay of answers."""
+"""HTTP entry point: serves callers and relays backend answers."""
 
 from amaranthslip.entry.entry import Entry
 
--- a/src/amaranthslip/entry/application.py
+++ b/src/amaranthslip/entry/application.py
@@ -1,4 +1,4 @@
-"""Application: the WSGI side of callers' requests."""
+"""WSGI applications that handle callers' requests."""
 
 import json
 import logging
@@ -22,21 +22,25 @@
 
 _log = logging.getLogger(__name__)
 
-# What the server's handler adds to the WSGI environment.
+# Keys that `server.Handler` adds to the WSGI environment: the connection's
+# socket, and the request target exactly as received.
 SOCKET = 'amaranthslip.socket'
 TARGET = 'amaranthslip.target'
 
-_GENERATIONS = ('/v1/chat/completions', '/v1/completions')
-_SERVICES = '/services/'
-_NO_BODY = (204, 304)
+_GENERATION_PATHS = ('/v1/chat/completions', '/v1/completions')
+_SERVICES_PREFIX = '/services/'
+_STATUSES_WITHOUT_BODY = (204, 304)
 
 Environ = dict[str, typing.Any]
 
 
 class Application:
-    """Answers callers' requests; one call of it is one request."""
+    """WSGI application that answers callers' requests.
 
-    # Whether a time to come back may be told in parts of a second.
+    Each call of the object handles one request.
+    """
+
+    # Whether `Retry-After` may hold a fraction of a second.
     _fractions = False
 
     __slots__ = ('_settings', '_accounts', '_metrics', '_progress')
@@ -56,7 +60,7 @@
     def __call__(
         self, environ: Environ, start_response: typing.Callable
     ) -> list[bytes]:
-        """Answer one request, as WSGI has it."""
+        """Answer one request; the signature is that of WSGI."""
         request_id = self._identify(environ)
         caller = callers.Caller(
             environ[SOCKET],
@@ -79,7 +83,11 @@
         return uuid.uuid4().hex
 
     def _sheds(self) -> bool:
-        """Return whether callers should open their next connection anew."""
+        """Return whether this answer should close its connection.
+
+        The caller then sends its next request on a new connection, which a
+        load balancer may route to another instance.
+        """
         return False
 
     def _answer(
@@ -89,20 +97,22 @@
         try:
             reply = self._serve(environ, caller, request_id, arrived)
         except Exception as error:
-            reply = self._describe(error, caller, request_id, arrived)
+            reply = self._build_error_reply(error, caller, request_id, arrived)
             if caller.started:
-                # Whatever went wrong in the middle of a stream: an answer
-                # behind it would end it as if it were whole.
+                # The stream has begun. An error reply after it would end
+                # the chunked coding properly, and the caller would take
+                # the partial stream for a complete one.
                 raise callers.AnswerAborted() from error
-        if not _is_read(environ):
-            # The rest of the body is not waited for: a caller that is
-            # refused could hold the connection with it.
+        if not _is_body_read(environ):
+            # Does not wait for the rest of the body: a refused caller
+            # could keep the connection open by sending it slowly.
             caller.closing = True
-            _abandon_body(environ)
+            _mark_body_read(environ)
         outcome = 'answered' if reply is None else reply.outcome
-        # Whoever is refused comes back on another connection.
-        crowded = self._progress.crowded and outcome != 'answered'
-        if self._progress.stopping or crowded or self._sheds():
+        # Refused callers usually retry on a new connection and keep the old
+        # one open, so many open connections are closed upon refusal.
+        close_refused = self._progress.crowded and outcome != 'answered'
+        if self._progress.stopping or close_refused or self._sheds():
             caller.closing = True
         self._metrics.count('requests', outcome)
         self._metrics.record('whole', time.monotonic() - arrived)
@@ -117,9 +127,9 @@
                 | caller.list_fields(),
             )
         if reply is not None:
-            _finish(environ, caller, reply, request_id)
+            _send_reply(environ, caller, reply, request_id)
 
-    def _describe(
+    def _build_error_reply(
         self,
         error: Exception,
         caller: callers.Caller,
@@ -156,8 +166,8 @@
         if self._progress.refusing:
             raise errors.RequestRefused(
                 'stopping',
-                'this instance is being stopped; send the request again,'
-                ' another instance will take it',
+                'this instance is shutting down; send the request again,'
+                ' another instance will accept it',
                 retry_after=1.0,
             )
         return self._dispatch(environ, caller, request_id, arrived)
@@ -173,7 +183,7 @@
 
 
 class ServiceApplication(Application):
-    """The interface of model services, as OpenAI has it, and plain ones."""
+    """Serves model services by OpenAI's API, and plain HTTP services."""
 
     __slots__ = ('_attempts',)
 
@@ -201,25 +211,25 @@
         path = environ['PATH_INFO']
         if path == '/v1/models':
             return _list_models(environ, index, account)
-        if path in _GENERATIONS:
+        if path in _GENERATION_PATHS:
             _check_method(environ, 'POST')
-            call = self._read_generation(
+            call = self._read_model_request(
                 environ, index, account, request_id, arrived
             )
-        elif path.startswith(_SERVICES):
-            call = self._read_plain(
+        elif path.startswith(_SERVICES_PREFIX):
+            call = self._read_plain_request(
                 environ, index, account, request_id, arrived
             )
         else:
             raise errors.RequestRefused(
                 'path_unknown',
-                f'nothing is served at {path!r}; use /v1/chat/completions,'
+                f'unknown path {path!r}; use /v1/chat/completions,'
                 ' /v1/completions, /v1/models or /services/<name>/',
                 status=404,
             )
         return self._attempts.run(call, caller)
 
-    def _read_generation(
+    def _read_model_request(
         self,
         environ: Environ,
         index: accounts_.Index,
@@ -249,7 +259,7 @@
             arrived=arrived,
         )
 
-    def _read_plain(
+    def _read_plain_request(
         self,
         environ: Environ,
         index: accounts_.Index,
@@ -258,9 +268,9 @@
         arrived: float,
     ) -> calls.Call:
         target = environ[TARGET]
-        name, slash, rest = target[len(_SERVICES) :].partition('/')
+        name, separator, rest = target[len(_SERVICES_PREFIX) :].partition('/')
         service = index.find_service(account, name, document.ServiceKind.PLAIN)
-        target = slash + rest or '/'
+        target = separator + rest or '/'
         method = environ['REQUEST_METHOD']
         kind = index.find_matching_kind(
             service, method, paths.normalise_path(target)
@@ -281,17 +291,22 @@
 
 
 def check_ready(configuration: document.Document) -> None:
-    """Refuse while no configuration is in force here.
+    """Check that a configuration is in force on this instance.
 
     A router that restarts while neither the key-value service nor a peer
-    answers knows no account yet. Were its callers told that their keys are
-    unknown, they would give up instead of asking another instance.
+    answers has no client accounts yet. A 401 for an unknown key would make
+    callers give up instead of retrying at another instance.
+
+    Raises
+    ------
+    RequestRefused
+        The configuration is still the empty one, version 0.
     """
     if configuration.version == 0:
         raise errors.RequestRefused(
             'not_ready',
             'this instance has no configuration yet; send the request'
-            ' again, another instance will take it',
+            ' again, another instance will accept it',
             retry_after=1.0,
         )
 
@@ -300,7 +315,7 @@
     if environ['REQUEST_METHOD'] != method:
         raise errors.RequestRefused(
             'method_not_allowed',
-            f'this path takes {method} only',
+            f'this path accepts {method} only',
             status=405,
         )
 
@@ -319,22 +334,22 @@
     return replies.Reply(200, [('Content-Type', 'application/json')], body)
 
 
-def _is_read(environ: Environ) -> bool:
+def _is_body_read(environ: Environ) -> bool:
     source = environ['wsgi.input']
     if source.chunked_input:
         return source.chunk_length == 0
     return source.position >= (source.content_length or 0)
 
 
-def _abandon_body(environ: Environ) -> None:
-    # The server reads what is left of a body before it closes; this source
-    # says that nothing is.
+def _mark_body_read(environ: Environ) -> None:
+    # gevent's server reads the rest of a body before it closes the
+    # connection. Marking the input as fully read prevents this.
     source = environ['wsgi.input']
     source.chunked_input = False
     source.content_length = source.position
 
 
-def _finish(
+def _send_reply(
     environ: Environ,
     caller: callers.Caller,
     reply: replies.Reply,
@@ -343,13 +358,13 @@
     body = reply.body
     if environ['REQUEST_METHOD'] == 'HEAD':
         body = b''
-        if not any(_is_length(each) for each in reply.headers):
+        if not any(_is_content_length(each) for each in reply.headers):
             reply.headers.append(('Content-Length', '0'))
-    elif reply.status not in _NO_BODY:
+    elif reply.status not in _STATUSES_WITHOUT_BODY:
         reply.headers.append(('Content-Length', str(len(body))))
     caller.begin(reply, request_id)
     caller.write(body)
 
 
-def _is_length(pair: tuple[str, str]) -> bool:
+def _is_content_length(pair: tuple[str, str]) -> bool:
     return pair[0].lower() == 'content-length'
--- a/src/amaranthslip/entry/bodies.py
+++ b/src/amaranthslip/entry/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies: reads callers' bodies within the limits, and checks JSON ones."""
+"""Reads request bodies within size and time limits; parses JSON bodies."""
 
 import json
 import typing
@@ -8,91 +8,95 @@
 from amaranthslip import errors
 from amaranthslip import settings as settings_
 
-_PIECE_BYTES = 65536
+_READ_BYTES = 65536
 
 
 def read_body(
     environ: dict[str, typing.Any], settings: settings_.Settings
 ) -> bytes:
-    """Read the whole body.
+    """Read a request's whole body.
 
     Raises
     ------
     RequestRefused
-        It is too large, too slow, or ends too early.
+        The body is larger than `limits.body_bytes`, takes longer than
+        `limits.body_seconds`, or ends before its declared length.
     """
     limits = settings.limits
     length = environ.get('CONTENT_LENGTH')
     if length and int(length) > limits.body_bytes:
-        raise _refuse_size(limits.body_bytes)
+        raise _build_size_error(limits.body_bytes)
     with gevent.Timeout(limits.body_seconds) as timer:
         try:
-            return _read_pieces(environ['wsgi.input'], limits.body_bytes)
-        except gevent.Timeout as passed:
-            if passed is not timer:
+            return _read_chunks(environ['wsgi.input'], limits.body_bytes)
+        except gevent.Timeout as timeout:
+            if timeout is not timer:
                 raise
         except OSError as error:
             raise errors.RequestRefused(
                 'malformed',
-                f'the body could not be read ({error}); send it whole',
+                f'the body could not be read ({error}); send it completely',
                 status=400,
             ) from None
     raise errors.RequestRefused(
         'body_timeout',
         f'the body took longer than {limits.body_seconds:g} s; send it'
-        ' faster, or send less',
+        ' faster, or send a smaller body',
         status=408,
     )
 
 
-def _read_pieces(source: typing.Any, most_bytes: int) -> bytes:
-    pieces, length = [], 0
-    # Never asks for more than one byte too many: a chunked body's source
-    # waits until it has all that it is asked for.
-    while piece := source.read(min(_PIECE_BYTES, most_bytes + 1 - length)):
-        pieces.append(piece)
-        length += len(piece)
-        if length > most_bytes:
-            raise _refuse_size(most_bytes)
-    return b''.join(pieces)
+def _read_chunks(source: typing.Any, max_bytes: int) -> bytes:
+    chunks, length = [], 0
+    # Reads at most one byte beyond the limit: for a chunked body, `read`
+    # blocks until it has the full number of bytes requested.
+    while chunk := source.read(min(_READ_BYTES, max_bytes + 1 - length)):
+        chunks.append(chunk)
+        length += len(chunk)
+        if length > max_bytes:
+            raise _build_size_error(max_bytes)
+    return b''.join(chunks)
 
 
-def _refuse_size(most_bytes: int) -> errors.RequestRefused:
+def _build_size_error(max_bytes: int) -> errors.RequestRefused:
     return errors.RequestRefused(
         'body_too_large',
-        f'the body is larger than {most_bytes} bytes; send less at once',
+        f'the body is larger than {max_bytes} bytes; send a smaller one',
         status=413,
     )
 
 
 def parse_body(body: bytes, *, chat: bool) -> dict[str, typing.Any]:
-    """Parse a model's request.
+    """Parse the JSON body of a request to a model service.
 
     Raises
     ------
     RequestRefused
-        It is no JSON object that names a model.
+        The body is not a JSON object with the fields that the API requires,
+        `model` among them.
     """
     try:
         values = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise _refuse_form(f'is no valid JSON ({error})') from None
+        raise _build_format_error(f'is not valid JSON ({error})') from None
     if not isinstance(values, dict):
-        raise _refuse_form('is no JSON object')
+        raise _build_format_error('is not a JSON object')
     if not isinstance(values.get('model'), str):
-        raise _refuse_form('names no "model"')
+        raise _build_format_error('has no "model" string')
     if not isinstance(values.get('stream', False), bool | None):
-        raise _refuse_form('has a "stream" that is neither true nor false')
+        raise _build_format_error(
+            'has a "stream" that is neither true nor false'
+        )
     if chat and not isinstance(values.get('messages'), list):
-        raise _refuse_form('has no list of "messages"')
+        raise _build_format_error('has no list of "messages"')
     if not chat and 'prompt' not in values:
-        raise _refuse_form('has no "prompt"')
+        raise _build_format_error('has no "prompt"')
     return values
 
 
-def _refuse_form(what: str) -> errors.RequestRefused:
+def _build_format_error(problem: str) -> errors.RequestRefused:
     return errors.RequestRefused(
         'malformed',
-        f"the body {what}; send a JSON object as OpenAI's API takes it",
+        f"the body {problem}; send a JSON object as OpenAI's API defines it",
         status=400,
     )
--- a/src/amaranthslip/entry/callers.py
+++ b/src/amaranthslip/entry/callers.py
@@ -1,4 +1,4 @@
-"""Callers: the connection a request came by, and whether it is still there."""
+"""A caller's connection: writes the answer and detects disconnects."""
 
 import typing
 
@@ -11,18 +11,19 @@
 
 
 class CallerLeft(gevent.GreenletExit):
-    """The caller closed the connection; nobody waits for the answer.
+    """The caller closed the connection, so its request is cancelled.
 
-    Thrown into the request's greenlet wherever it waits. A GreenletExit,
-    so that neither this program nor the WSGI server takes it for an error.
+    Thrown into the request's greenlet wherever it waits. A subclass of
+    GreenletExit, so that neither this program nor the WSGI server reports
+    an error.
     """
 
 
 class AnswerAborted(gevent.GreenletExit):
-    """An answer already begun can't be ended well.
+    """An answer failed after its first bytes were sent.
 
-    It leaves the WSGI server without the last chunk of the chunked coding,
-    so that no caller takes the answer for a whole one.
+    Raised through the WSGI server, which then omits the final chunk of the
+    chunked coding, so that the caller sees that the answer is incomplete.
     """
 
 
@@ -32,11 +33,11 @@
     Parameters
     ----------
     sock : socket
-        The connection.
+        The connection that the request came by.
     start_response : callable
-        Of the WSGI server.
+        The WSGI server's function of that name.
     write_seconds : float
-        How long one write may wait for a caller that does not read.
+        Timeout in seconds of one write, for a caller that does not read.
     """
 
     __slots__ = (
@@ -65,44 +66,47 @@
         self._greenlet = greenlet.getcurrent()
         self._write_seconds = write_seconds
         self.started = False
-        # Whether the connection ends with this answer.
+        # Whether the connection is closed after this answer.
         self.closing = False
-        # Of a routed request, once it is known what it needs.
+        # Log fields of a request on an operator's route; set once the route
+        # and the resources that the request needs are known.
         self.note: notes.Note | None = None
 
     def list_fields(self) -> dict[str, typing.Any]:
-        """Return what its request's last line tells of it."""
+        """Return the extra fields of the log line that ends the request."""
         return {} if self.note is None else self.note.list_fields()
 
     def watch(self) -> None:
-        """Throw CallerLeft into this greenlet when the caller goes.
+        """Throw CallerLeft into this greenlet when the caller disconnects.
 
-        A caller that leaves while its request is queued, or before the
-        first byte, would else be noticed only when an answer is written,
-        and an engine would work for nobody until then.
+        Without this, a disconnect while the request is queued or before the
+        first byte would be noticed only when the answer is written, and an
+        engine would generate an answer that nobody reads until then.
         """
         loop = gevent.get_hub().loop
         self._watcher = loop.io(self._socket.fileno(), 1)
-        self._watcher.start(self._look)
+        self._watcher.start(self._handle_readable)
 
     def check(self) -> None:
-        """Raise CallerLeft if the caller is known to be gone.
+        """Raise CallerLeft if the caller has disconnected.
 
-        The loop may be late to tell: asked before a request is sent on.
+        Reads the socket itself, because a busy event loop may report the
+        disconnect late. Used before a request is sent to a server.
         """
         if self._peek() == b'':
             raise CallerLeft()
 
     def ignore(self) -> None:
-        """Stop watching."""
+        """Stop watching for a disconnect."""
         if self._watcher is not None:
             self._watcher.stop()
             self._watcher.close()
             self._watcher = None
 
-    def _look(self) -> None:
-        # Runs in the hub, so it must not wait. Bytes mean a next request
-        # that was sent early: from then on only writing shows a departure.
+    def _handle_readable(self) -> None:
+        # Runs in the hub, so it must not block. Readable bytes are a
+        # pipelined request, which hides a later end of the stream; from then
+        # on only a failed write reveals a disconnect.
         data = self._peek()
         if data is None:
             return
@@ -111,7 +115,7 @@
             self._greenlet.throw(CallerLeft())
 
     def _peek(self) -> bytes | None:
-        """Return a byte that waits, b'' at the end, None if there is none."""
+        """Return the next byte, unread: b'' at the end, None if none came."""
         try:
             return self._socket._sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -120,7 +124,7 @@
             return b''
 
     def begin(self, reply: replies.Reply, request_id: str) -> None:
-        """Send the status line and headers, with the first write."""
+        """Set the status line and headers, sent with the first write."""
         headers = [*reply.headers, ('X-Request-Id', request_id)]
         if self.closing:
             headers.append(('Connection', 'close'))
@@ -135,11 +139,12 @@
         Raises
         ------
         CallerLeft
-            The connection is gone, or its caller does not read.
+            The connection is lost, or a write timed out because the caller
+            does not read.
         """
         try:
             self._write(data)
         except OSError:
-            # The same as a caller that is seen to leave. One that reads
-            # nothing would hold an engine's slot for as long as it likes.
+            # Handled like a disconnect. A caller that reads nothing could
+            # otherwise occupy an engine's slot indefinitely.
             raise CallerLeft() from None
--- a/src/amaranthslip/entry/calls.py
+++ b/src/amaranthslip/entry/calls.py
@@ -1,4 +1,4 @@
-"""Calls: one caller's request, read and understood."""
+"""A caller's request, parsed and matched to the configuration."""
 
 import typing
 
@@ -8,22 +8,23 @@
 
 
 class Call:
-    """One caller's request, and what is known of its run.
+    """One caller's request and the state of its execution.
 
     Parameters
     ----------
     request_id : str
-        The id that answers and logs carry.
+        Identifies the request in answers and logs.
     account, service, kind
-        Out of the document that was in force when it came.
+        From the configuration in force when the request arrived.
     method, target, headers, body
-        As they go to a backend server.
+        As sent to the backend server.
     values : dict or None
-        The parsed JSON body of a model's request.
+        The parsed JSON body of a request to a model service; None for a
+        plain service.
     idempotency_key : str
-        The caller's, or empty.
+        The key that the caller sent, or an empty string.
     arrived, deadline : float
-        `time.monotonic()` seconds.
+        Seconds of `time.monotonic()`.
     """
 
     __slots__ = (
@@ -73,12 +74,13 @@
         self.idempotency_key = idempotency_key
         self.arrived = arrived
         self.deadline = arrived + kind.deadline_seconds
-        # Backend servers that failed it.
+        # Backend servers on which earlier tries of this request failed.
         self.excluded: set[str] = set()
         self.claim: typing.Any = None
-        # Whether a byte of it may have left, in any try.
+        # Whether any try may have sent a byte of the request.
         self.sent = False
-        # Identical for all attempts at the same request.
+        # Identical for all attempts at the same request, so that repeated
+        # crashes can be attributed to that request.
         self.fingerprint = fingerprints.compute_fingerprint(
             client_account=account.name,
             method=method,
@@ -86,10 +88,10 @@
             target=target,
             body=body,
         )
-        # Whether a kept connection broke during the current try.
+        # Whether a reused keep-alive connection broke in the current try.
         self.kept_connection_broke = False
 
     @property
     def streamed(self) -> bool:
-        """Whether the caller asked for server-sent events."""
+        """Whether the caller requested a stream of server-sent events."""
         return self.values is not None and self.values.get('stream') is True
--- a/src/amaranthslip/entry/events.py
+++ b/src/amaranthslip/entry/events.py
@@ -1,4 +1,4 @@
-"""Event streams passed on as they are, and gone on with after a break."""
+"""Relays event streams unchanged and continues them after a failure."""
 
 import re
 import typing
@@ -10,33 +10,34 @@
 from amaranthslip.entry import replies
 from amaranthslip import errors
 
-# Bytes: an event longer than this is no model's.
-_MOST_EVENT_BYTES = 1048576
-# Seconds: in less, no second event comes, and waiting costs more than it
+# Bytes. A longer event can't come from a model server.
+_MAX_EVENT_BYTES = 1048576
+# Seconds. A shorter wait collects no second event, and costs more than it
 # saves.
-_LEAST_HOLD_SECONDS = 0.01
-_ID = re.compile(rb'^id: ?([0-9]+) *$', re.MULTILINE)
-_END = b'\n\n'
+_MIN_BATCH_SECONDS = 0.01
+_EVENT_ID = re.compile(rb'^id: ?([0-9]+) *$', re.MULTILINE)
+_EVENT_END = b'\n\n'
 
 
 class EventRelay:
-    """Relays one stream's events to its caller, over all engines.
+    """Relays one stream's events to its caller, across several engines.
 
-    Only whole events pass, each once and in the order of their ids: an
-    engine may break off in the middle of one, and the next begins after the
-    last whole one. The caller keeps the first engine's headers.
+    Forwards only complete events, each once and in the order of their ids.
+    If an engine's connection is cut inside an event, the next engine
+    continues after the last complete one. The caller gets the headers of
+    the first engine.
 
     Parameters
     ----------
     caller : Caller
-        Gets the events.
+        Receives the events.
     request_id : str
-        Of the request, for the answer's headers.
+        Id of the request, sent in the answer's headers.
     last_id : int
-        The last event that the caller has already.
+        Id of the last event that the caller already has.
     read_hold : callable
-        Returns for how many seconds events are gathered before they are
-        passed on together.
+        Returns for how many seconds events are collected before they are
+        forwarded in one write.
     """
 
     __slots__ = ('last_id', '_caller', '_request_id', '_read_hold')
@@ -56,7 +57,7 @@
 
     @property
     def started(self) -> bool:
-        """Whether the caller has got anything of the answer."""
+        """Whether any part of the answer was sent to the caller."""
         return self._caller.started
 
     def relay(
@@ -65,23 +66,23 @@
         headers: typing.Sequence[tuple[str, str]],
         began: typing.Callable[[], None],
     ) -> None:
-        """Pass on events until the stream's end.
+        """Forward events until the end of the stream.
 
         Parameters
         ----------
         answer : Answer
-            The engine's.
+            The engine's answer.
         headers : sequence of (str, str)
-            For the caller, where nothing was sent yet.
+            Headers for the caller, used if none were sent yet.
         began : callable
-            Called when the engine's first bytes came.
+            Called when the engine's first bytes arrive.
 
         Raises
         ------
         BackendFailed
-            The stream broke off, or an event is missing.
+            The stream was cut off, or an event is missing.
         CallerLeft
-            Nobody reads any longer.
+            The caller disconnected.
         """
         pending = b''
         first = True
@@ -90,41 +91,41 @@
                 first = False
                 began()
             pending += data
-            end = pending.rfind(_END) + len(_END)
-            if end < len(_END):
+            end = pending.rfind(_EVENT_END) + len(_EVENT_END)
+            if end < len(_EVENT_END):
                 self._check_length(pending)
                 continue
-            self._pass_on(pending[:end], headers)
+            self._forward_events(pending[:end], headers)
             pending = pending[end:]
-            self._gather()
+            self._wait_for_batch()
         if pending:
-            raise _describe_break('ended in the middle of an event')
+            raise _build_stream_error('ended in the middle of an event')
         if not self._caller.started:
-            self._begin(headers)
+            self._begin_reply(headers)
 
-    def _gather(self) -> None:
+    def _wait_for_batch(self) -> None:
         seconds = self._read_hold()
-        if seconds >= _LEAST_HOLD_SECONDS:
+        if seconds >= _MIN_BATCH_SECONDS:
             gevent.sleep(seconds)
 
-    def _pass_on(
+    def _forward_events(
         self, data: bytes, headers: typing.Sequence[tuple[str, str]]
     ) -> None:
-        kept = []
-        for event in data.split(_END)[:-1]:
+        new_events = []
+        for event in data.split(_EVENT_END)[:-1]:
             number = _find_id(event)
             if number is not None:
                 if number <= self.last_id:
-                    # It came already, from an engine before.
+                    # An earlier engine already sent this event.
                     continue
                 if number != self.last_id + 1:
-                    self._write(b''.join(kept), headers)
-                    raise _describe_break(
-                        f'left out events after {self.last_id}'
+                    self._write(b''.join(new_events), headers)
+                    raise _build_stream_error(
+                        f'skipped events after event {self.last_id}'
                     )
                 self.last_id = number
-            kept.append(event + _END)
-        self._write(b''.join(kept), headers)
+            new_events.append(event + _EVENT_END)
+        self._write(b''.join(new_events), headers)
 
     def _write(
         self, data: bytes, headers: typing.Sequence[tuple[str, str]]
@@ -132,25 +133,25 @@
         if not data:
             return
         if not self._caller.started:
-            self._begin(headers)
+            self._begin_reply(headers)
         self._caller.write(data)
 
-    def _begin(self, headers: typing.Sequence[tuple[str, str]]) -> None:
+    def _begin_reply(self, headers: typing.Sequence[tuple[str, str]]) -> None:
         self._caller.begin(replies.Reply(200, headers, b''), self._request_id)
 
     def _check_length(self, pending: bytes) -> None:
-        if len(pending) > _MOST_EVENT_BYTES:
-            raise _describe_break('sent no events')
+        if len(pending) > _MAX_EVENT_BYTES:
+            raise _build_stream_error('sent no complete event')
 
 
 def _find_id(event: bytes) -> int | None:
-    found = _ID.search(event)
+    found = _EVENT_ID.search(event)
     return int(found.group(1)) if found else None
 
 
-def _describe_break(what: str) -> errors.BackendFailed:
+def _build_stream_error(problem: str) -> errors.BackendFailed:
     return errors.BackendFailed(
         'stream_broken',
-        f'the engine {what}; send the request again from the last event',
+        f'the engine {problem}; send the request again from the last event',
         sent=True,
     )
--- a/src/amaranthslip/entry/headers.py
+++ b/src/amaranthslip/entry/headers.py
@@ -1,10 +1,11 @@
-"""Headers: which fields pass between callers and backend servers."""
+"""Selects the headers forwarded between callers and backend servers."""
 
 import typing
 
 from amaranthslip.platform import headers as wire
 
-# RFC 9110, 7.6.1: fields for one connection only, and the older names.
+# RFC 9110, 7.6.1: hop-by-hop fields, which apply to one connection only, and
+# older fields of the same kind.
 _HOP_BY_HOP = frozenset(
     (
         'connection',
@@ -18,8 +19,9 @@
         'upgrade',
     )
 )
-# Written anew for the backend server. The bearer key is this fleet's own
-# and must not reach a backend server; the account's name goes instead.
+# Set by the router for the backend server. The bearer key authenticates the
+# caller to the router and must not reach a backend server, which gets the
+# name of the client account instead.
 _REPLACED_FOR_BACKEND = frozenset(
     (
         'authorization',
@@ -31,8 +33,9 @@
     )
 )
 _NOT_FORWARDED_TO_PLAIN = _HOP_BY_HOP | _REPLACED_FOR_BACKEND
-# On an operator's routes the host passes on as well, and the backend server
-# learns the account by a header of the platform's.
+# On an operator's routes, the backend server gets the client account in a
+# header that the platform defines. The caller's `Host` is forwarded, but
+# through `Outgoing.host` instead of the header list.
 NOT_FORWARDED_ON_ROUTES = (
     _HOP_BY_HOP
     | frozenset(('authorization', 'content-length', 'expect', 'host'))
@@ -46,50 +49,54 @@
 def collect_request_headers(
     environ: dict[str, typing.Any], client_account: str
 ) -> Pairs:
-    """Return what a plain service gets of a caller's headers."""
+    """Return the headers of a request to a plain service."""
     pairs = collect_forwarded(environ, _NOT_FORWARDED_TO_PLAIN)
     pairs.append(('X-Client-Account', client_account))
     return pairs
 
 
 def collect_forwarded(
-    environ: dict[str, typing.Any], barred: frozenset[str]
+    environ: dict[str, typing.Any], excluded_names: frozenset[str]
 ) -> Pairs:
-    """Return a caller's headers that pass on unchanged.
+    """Return the caller's headers that are forwarded unchanged.
 
     Parameters
     ----------
     environ : dict
-        The request, as WSGI has it.
-    barred : frozenset of str
-        Names, in lower case, that don't pass, besides those that the caller
-        names as its connection's.
+        The WSGI environment of the request.
+    excluded_names : frozenset of str
+        Names, in lower case, that are not forwarded, in addition to those
+        that the caller's `Connection` header lists.
     """
     pairs = []
-    barred = barred | _split(environ.get('HTTP_CONNECTION', ''))
+    excluded_names = excluded_names | _split_names(
+        environ.get('HTTP_CONNECTION', '')
+    )
     if environ.get('CONTENT_TYPE'):
         pairs.append(('Content-Type', environ['CONTENT_TYPE']))
     for key, value in environ.items():
         if not key.startswith('HTTP_'):
             continue
         name = key[5:].replace('_', '-').lower()
-        if name not in barred:
+        if name not in excluded_names:
             pairs.append((name.title(), value))
     return pairs
 
 
 def strip_answer_headers(pairs: typing.Iterable[tuple[str, str]]) -> Pairs:
-    """Return what a caller gets of a backend server's headers."""
+    """Return the headers of a backend server's answer for the caller."""
     pairs = list(pairs)
-    named: set[str] = set()
+    connection_names: set[str] = set()
     for name, value in pairs:
         if name.lower() == 'connection':
-            named |= _split(value)
-    barred = named | _HOP_BY_HOP | _REPLACED_FOR_CALLER
+            connection_names |= _split_names(value)
+    excluded_names = connection_names | _HOP_BY_HOP | _REPLACED_FOR_CALLER
     return [
-        (name, value) for name, value in pairs if name.lower() not in barred
+        (name, value)
+        for name, value in pairs
+        if name.lower() not in excluded_names
     ]
 
 
-def _split(value: str) -> set[str]:
+def _split_names(value: str) -> set[str]:
     return {each.strip().lower() for each in value.split(',') if each.strip()}
--- a/src/amaranthslip/entry/paths.py
+++ b/src/amaranthslip/entry/paths.py
@@ -1,4 +1,4 @@
-"""Paths: the target that a plain service gets, and how kinds match it."""
+"""Normalises request paths for matching them to request kinds."""
 
 import re
 from urllib import parse
@@ -9,29 +9,29 @@
 
 
 def normalise_path(target: str) -> str:
-    """Return the path by which kinds of requests are matched.
+    """Return the path that is matched against request kinds.
 
-    Whether a request may run twice hangs on its kind. Were the raw path
-    matched, `/%62ookings`, `//bookings` or `/x/../bookings` would pass for
-    another kind than `/bookings` and might be repeated.
+    The request kind decides whether a request may be retried. If the raw
+    path were matched, `/%62ookings`, `//bookings` or `/x/../bookings` could
+    match another kind than `/bookings`, and the booking could run twice.
 
     Raises
     ------
     RequestRefused
-        The path holds dot segments, a backslash or control characters.
+        The path contains dot segments, a backslash or control characters.
     """
     path = parse.unquote(target.partition('?')[0])
     segments = re.split(r'[/\\]', path)
     if '\\' in path or any(each in ('.', '..') for each in segments):
-        raise _refuse('dot segments or a backslash')
+        raise _build_path_error('dot segments or a backslash')
     if not path.isprintable():
-        raise _refuse('control characters')
+        raise _build_path_error('control characters')
     return _SLASHES.sub('/', path)
 
 
-def _refuse(what: str) -> errors.RequestRefused:
+def _build_path_error(parts: str) -> errors.RequestRefused:
     return errors.RequestRefused(
         'malformed',
-        f'the path holds {what}; send it in its plain form',
+        f'the path contains {parts}; send a path without them',
         status=400,
     )
--- a/src/amaranthslip/entry/prefixes.py
+++ b/src/amaranthslip/entry/prefixes.py
@@ -1,18 +1,18 @@
-"""Prefixes: hashes by which an engine's cached prompts are recognised."""
+"""Hashes of prompt prefixes, used to find engines that have them cached."""
 
 import json
 import typing
 
 import xxhash
 
-# The first prefix's length in characters; each further one is twice as
-# long, so that a long prompt still has only a handful.
-_FIRST = 256
-_MOST = 12
+# Length of the shortest prefix in characters. Each further prefix is twice
+# as long, so that even a long prompt has few hashes.
+_FIRST_LENGTH = 256
+_MAX_PREFIXES = 12
 
 
 def write_prompt(values: dict[str, typing.Any]) -> str:
-    """Return the text that an engine will prefill, or near enough."""
+    """Return an approximation of the text that an engine will prefill."""
     prompt = values.get('prompt')
     if isinstance(prompt, str):
         return prompt
@@ -20,10 +20,10 @@
 
 
 def hash_prefixes(text: str) -> tuple[int, ...]:
-    """Return the hashes of a prompt's growing prefixes, shortest first."""
-    hashes, length = [], _FIRST
-    while length <= len(text) and len(hashes) < _MOST:
-        # A caller's JSON may hold half of a surrogate pair.
+    """Return the hashes of a prompt's prefixes, shortest first."""
+    hashes, length = [], _FIRST_LENGTH
+    while length <= len(text) and len(hashes) < _MAX_PREFIXES:
+        # JSON from a caller may contain an unpaired surrogate.
         prefix = text[:length].encode('utf-8', 'surrogatepass')
         hashes.append(xxhash.xxh3_64_intdigest(prefix))
         length *= 2
--- a/src/amaranthslip/entry/readiness.py
+++ b/src/amaranthslip/entry/readiness.py
@@ -1,4 +1,4 @@
-"""The address at which a balancer asks whether to send new callers here."""
+"""Readiness endpoint: tells a load balancer whether to route callers here."""
 
 import typing
 
@@ -7,12 +7,12 @@
 
 
 class Readiness(listening.SmallServer):
-    """Answers 200 while this instance takes new callers, else 503.
+    """Answers 200 while this instance accepts new callers, else 503.
 
     Parameters
     ----------
     settings : Settings
-        `addresses.readiness` is where it listens.
+        The server listens at `addresses.readiness`.
     check : callable
         Returns whether this instance is ready.
     """
--- a/src/amaranthslip/entry/replies.py
+++ b/src/amaranthslip/entry/replies.py
@@ -1,4 +1,4 @@
-"""Replies: whole answers to callers, and errors in OpenAI's form."""
+"""Complete answers to callers, and errors in OpenAI's format."""
 
 import functools
 import http
@@ -8,7 +8,7 @@
 
 from amaranthslip import errors
 
-_TYPES = {
+_ERROR_TYPES = {
     409: 'idempotency_error',
     401: 'authentication_error',
     403: 'permission_error',
@@ -17,7 +17,7 @@
 
 
 class Reply:
-    """One whole answer to a caller."""
+    """One complete answer to a caller."""
 
     __slots__ = ('status', 'headers', 'body', 'outcome')
 
@@ -32,12 +32,12 @@
         self.status = status
         self.headers = list(headers)
         self.body = body
-        # The label of the `requests` counter.
+        # Label value for the `requests` counter.
         self.outcome = outcome
 
 
 class Failure:
-    """What an error answer tells a caller."""
+    """The contents of an error answer to a caller."""
 
     __slots__ = ('status', 'code', 'message', 'not_run', 'retry_after')
 
@@ -57,11 +57,11 @@
         self.retry_after = retry_after
 
     def encode(self, request_id: str) -> bytes:
-        """Return the JSON object of OpenAI's error form."""
+        """Return the JSON error object in OpenAI's format."""
         return json.dumps(
             {
                 'error': {
-                    'type': _find_type(self.status, self.not_run),
+                    'type': _find_error_type(self.status, self.not_run),
                     'code': self.code,
                     'message': self.message,
                     'request_id': request_id,
@@ -73,14 +73,14 @@
     def build_reply(
         self, request_id: str, *, fractions: bool = False
     ) -> Reply:
-        """Return the whole answer.
+        """Return the error as a complete answer.
 
         Parameters
         ----------
         fractions : bool
-            Whether callers take a time to come back in parts of a second.
-            RFC 9110 has whole ones only, which for a wait of 0.2 s would
-            cost a caller most of a second.
+            Whether `Retry-After` may hold a fraction of a second. RFC 9110
+            allows whole seconds only, which would turn a wait of 0.2 s
+            into one of 1 s.
         """
         headers = [('Content-Type', 'application/json')]
         if self.retry_after is not None:
@@ -96,16 +96,16 @@
         )
 
 
-def _find_type(status: int, not_run: bool) -> str:
+def _find_error_type(status: int, not_run: bool) -> str:
     if not not_run and status != 409:
         return 'outcome_unknown_error'
     if status >= 500:
         return 'service_unavailable_error'
-    return _TYPES.get(status, 'invalid_request_error')
+    return _ERROR_TYPES.get(status, 'invalid_request_error')
 
 
 def describe_status(status: int) -> str:
-    """Return the status line's code and phrase."""
+    """Return the code and reason phrase for a status line."""
     try:
         return f'{status} {http.HTTPStatus(status).phrase}'
     except ValueError:
@@ -114,11 +114,11 @@
 
 @functools.singledispatch
 def describe_error(error: BaseException) -> Failure:
-    """Return what a caller is told of an error."""
+    """Return the failure that a caller gets for an error."""
     return Failure(
         500,
         'outcome_unknown',
-        'the router failed; report the request id, and look up whether the'
+        'internal router error; report the request id, and check whether the'
         ' request ran before sending it again',
         not_run=False,
     )
@@ -136,13 +136,14 @@
 
 
 @describe_error.register
-def _describe_unknown(error: errors.OutcomeUnknown) -> Failure:
+def _describe_unknown_outcome(error: errors.OutcomeUnknown) -> Failure:
     return Failure(502, 'outcome_unknown', str(error), not_run=False)
 
 
 @describe_error.register
 def _describe_repetition(error: errors.RequestRepeated) -> Failure:
-    # This arrival was not run, but the request that it repeats was.
+    # This repetition was not run, but the original request is running or has
+    # run.
     return Failure(
         error.status,
         error.reason,
@@ -153,7 +154,7 @@
 
 
 @describe_error.register
-def _describe_backend(error: errors.BackendFailed) -> Failure:
+def _describe_backend_failure(error: errors.BackendFailed) -> Failure:
     if error.sent:
         return Failure(
             error.status, 'outcome_unknown', str(error), not_run=False
--- a/src/amaranthslip/entry/resumption.py
+++ b/src/amaranthslip/entry/resumption.py
@@ -1,9 +1,10 @@
-"""Resumption: goes on with a cut stream exactly after what was delivered.
+"""Resumes a cut stream exactly after the events already delivered.
 
-The delivered events were kept as bytes; only a cut has them decoded. What
-can be resumed is text: one choice, whose deltas hold a role and content and
-nothing else. An engine is asked to continue that text, so that nothing comes
-twice and nothing is missing; ids and counts of the first stream are kept.
+Delivered events are kept as bytes and decoded only if the stream is cut. Only
+text can be resumed: a single choice, whose deltas hold nothing but a role and
+content. Another engine gets a request to continue that text, so that no text
+is repeated or missing. The id and the token counts of the first stream carry
+over.
 """
 
 import json
@@ -11,11 +12,12 @@
 
 from amaranthslip import errors
 
-_DATA = b'data: '
-_LIMITS = ('max_tokens', 'max_completion_tokens', 'min_tokens')
-# Requests that a text alone can't continue: several choices, guided
-# decoding (its state is lost), tools, log probabilities with offsets.
-_BARRED = (
+_DATA_PREFIX = b'data: '
+_TOKEN_LIMITS = ('max_tokens', 'max_completion_tokens', 'min_tokens')
+# Fields of requests that can't be continued from the text alone: several
+# choices, guided decoding (its state is lost with the engine), tools, log
+# probabilities with offsets.
+_UNRESUMABLE_OPTIONS = (
     'tools',
     'functions',
     'response_format',
@@ -29,102 +31,109 @@
     'guided_grammar',
     'structured_outputs',
 )
-_DELTA_KEYS = frozenset(('role', 'content'))
+_TEXT_DELTA_KEYS = frozenset(('role', 'content'))
 
 Values = dict[str, typing.Any]
 
 
-class Delivered:
-    """What the delivered events of a stream say.
+class DeliveredEvents:
+    """Summary of the events of a stream that were delivered to the caller.
 
     Parameters
     ----------
     events : iterable of bytes
-        Runs of whole events, in order.
+        Byte strings of one or more complete events, in order.
     """
 
     __slots__ = (
         'text',
-        'first',
+        'first_event',
         'finished',
-        'plain',
-        'role',
-        'pieces',
-        'usage',
+        'text_only',
+        'has_role',
+        'text_count',
+        'has_usage',
     )
 
     def __init__(self, events: typing.Iterable[bytes]) -> None:
         texts: list[str] = []
-        self.first: Values | None = None
+        self.first_event: Values | None = None
         self.finished = False
-        self.plain = True
-        self.role = False
-        self.pieces = 0
-        # Whether the event that ends a stream's usage was delivered.
-        self.usage = False
+        self.text_only = True
+        self.has_role = False
+        self.text_count = 0
+        # Whether the final usage event, which has no choices, was delivered.
+        self.has_usage = False
         for values in decode_events(b''.join(events)):
-            if self.first is None:
-                self.first = values
+            if self.first_event is None:
+                self.first_event = values
             if values.get('usage') and not values.get('choices'):
-                self.usage = True
+                self.has_usage = True
             for choice in values.get('choices', ()):
                 text = self._read_choice(choice)
                 if text:
                     texts.append(text)
         self.text = ''.join(texts)
-        self.pieces = len(texts)
+        self.text_count = len(texts)
 
     def _read_choice(self, choice: Values) -> str:
         if choice.get('finish_reason'):
             self.finished = True
         if choice.get('index', 0) != 0:
-            self.plain = False
+            self.text_only = False
         delta = choice.get('delta')
         if delta is None:
             return choice.get('text') or ''
-        if any(delta[key] for key in delta.keys() - _DELTA_KEYS):
-            self.plain = False
-        self.role = self.role or 'role' in delta
+        if any(delta[key] for key in delta.keys() - _TEXT_DELTA_KEYS):
+            self.text_only = False
+        self.has_role = self.has_role or 'role' in delta
         return delta.get('content') or ''
 
 
 def decode_events(data: bytes) -> typing.Iterator[Values]:
-    """Yield the JSON objects of whole events, without `[DONE]`."""
+    """Yield the JSON objects of complete events, except `[DONE]`."""
     for line in data.split(b'\n'):
-        if line.startswith(_DATA + b'{'):
-            yield json.loads(line[len(_DATA) :])
+        if line.startswith(_DATA_PREFIX + b'{'):
+            yield json.loads(line[len(_DATA_PREFIX) :])
 
 
 def encode_event(values: Values) -> bytes:
-    """Return one event as bytes."""
+    """Return one server-sent event as bytes."""
     text = json.dumps(values, ensure_ascii=False, separators=(',', ':'))
-    return _DATA + text.encode() + b'\n\n'
+    return _DATA_PREFIX + text.encode() + b'\n\n'
 
 
-def check_resumable(values: Values, delivered: Delivered) -> None:
-    """Check that a text can continue this request.
+def check_resumable(values: Values, delivered: DeliveredEvents) -> None:
+    """Check that this request can be continued from its delivered text.
 
     Raises
     ------
     BackendFailed
-        It can't; the stream has to end in an error.
+        It can't be continued; the stream has to end in an error.
     """
-    several = values.get('n') not in (None, 1)
-    barred = [key for key in _BARRED if values.get(key)]
+    several_choices = values.get('n') not in (None, 1)
+    unresumable_options = [
+        key for key in _UNRESUMABLE_OPTIONS if values.get(key)
+    ]
     prompt = values.get('prompt', '')
-    if several or barred or not delivered.plain or type(prompt) is not str:
+    if (
+        several_choices
+        or unresumable_options
+        or not delivered.text_only
+        or type(prompt) is not str
+    ):
         raise errors.BackendFailed(
             'not_resumable',
-            'the engine was lost and a stream of this form can not be'
+            'the engine failed, and a stream with these options can not be'
             ' resumed; send the request again',
             sent=True,
         )
 
 
 def compose_continuation(values: Values, text: str, tokens: int) -> Values:
-    """Return the request that continues after `text` of `tokens` tokens."""
+    """Return the request that continues after `text`, `tokens` tokens long."""
     continued = dict(values)
-    for limit in _LIMITS:
+    for limit in _TOKEN_LIMITS:
         if isinstance(values.get(limit), int):
             continued[limit] = max(values[limit] - tokens, 1)
     if 'prompt' in values:
@@ -145,44 +154,45 @@
     return continued
 
 
-def is_exhausted(values: Values, tokens: int) -> bool:
-    """Return whether the request's own limit of tokens was delivered."""
-    limits = [values.get(name) for name in _LIMITS[:2]]
+def has_reached_limit(values: Values, tokens: int) -> bool:
+    """Return whether the request's own token limit has been reached."""
+    limits = [values.get(name) for name in _TOKEN_LIMITS[:2]]
     return any(type(each) is int and tokens >= each for each in limits)
 
 
-class Splice:
-    """Makes a continuation's events look like the first stream's.
+class ContinuationRewriter:
+    """Rewrites a continuation's events to match those of the first stream.
 
     Parameters
     ----------
-    delivered : Delivered
-        What came before.
+    delivered : DeliveredEvents
+        The events delivered before the continuation.
     prompt_tokens, tokens : int
-        The first stream's counts, which the continuation's go on from.
+        Token counts of the first stream, to which those of the
+        continuation are added.
     """
 
-    __slots__ = ('_first', '_role', '_prompt_tokens', '_tokens')
+    __slots__ = ('_first_event', '_has_role', '_prompt_tokens', '_tokens')
 
     def __init__(
-        self, delivered: Delivered, prompt_tokens: int, tokens: int
+        self, delivered: DeliveredEvents, prompt_tokens: int, tokens: int
     ) -> None:
-        self._first = delivered.first
-        self._role = delivered.role
+        self._first_event = delivered.first_event
+        self._has_role = delivered.has_role
         self._prompt_tokens = prompt_tokens
         self._tokens = tokens
 
     def rewrite(self, data: bytes) -> bytes:
-        """Return whole events with the first stream's id and counts."""
+        """Return complete events with the first stream's id and counts."""
         rewritten = [self._rewrite(each) for each in decode_events(data)]
         return b''.join(filter(None, rewritten))
 
     def _rewrite(self, values: Values) -> bytes:
-        if self._first is not None:
+        if self._first_event is not None:
             for key in ('id', 'created', 'system_fingerprint'):
-                if key in self._first:
-                    values[key] = self._first[key]
-        if self._role and _has_only_role(values):
+                if key in self._first_event:
+                    values[key] = self._first_event[key]
+        if self._has_role and _has_only_role(values):
             return b''
         usage = values.get('usage')
         if usage:
@@ -204,19 +214,19 @@
     )
 
 
-def compose_ending(
-    delivered: Delivered,
+def compose_final_events(
+    delivered: DeliveredEvents,
     *,
     prompt_tokens: int,
     tokens: int,
     with_usage: bool,
 ) -> bytes:
-    """Return the events that a stream still lacks after its last token.
+    """Return the events that end a stream after its last token.
 
-    Its engine was lost between the last token and `[DONE]`: there is
-    nothing left to generate, so the router writes the end itself.
+    Used when the engine failed between the last token and `[DONE]`. No token
+    is left to generate, so the router writes the remaining events itself.
     """
-    first = dict(delivered.first or {})
+    first = dict(delivered.first_event or {})
     first.pop('usage', None)
     events = []
     if not delivered.finished:
@@ -224,7 +234,7 @@
         chat = 'delta' in (first.get('choices') or [{}])[0]
         choice |= {'delta': {}} if chat else {'text': ''}
         events.append(encode_event(first | {'choices': [choice]}))
-    if with_usage and not delivered.usage:
+    if with_usage and not delivered.has_usage:
         usage = {
             'prompt_tokens': prompt_tokens,
             'total_tokens': prompt_tokens + tokens,
--- a/src/amaranthslip/entry/server.py
+++ b/src/amaranthslip/entry/server.py
@@ -1,8 +1,8 @@
-"""The HTTP server for callers: gevent's, with limits on each connection.
+"""HTTP server for callers: gevent's server with limits on each connection.
 
-gevent's server waits without an end for a request's headers, reads as many
-as come, and answers mistakes with an empty body. This handler bounds the
-time, the bytes and the connections, and answers in JSON.
+gevent's server waits indefinitely for a request's headers, does not limit
+their number, and answers malformed requests with an empty body. This handler
+limits time, bytes and connections, and answers in JSON.
 """
 
 import logging
@@ -25,119 +25,123 @@
 
 _log = logging.getLogger(__name__)
 
-# Bytes and seconds for which a refused caller's further bytes are read:
-# closing at once would reset the connection, and the answer be lost.
+# Limits in bytes and seconds on reading, and discarding, what a refused caller
+# still sends. Closing at once would reset the connection, and the caller
+# could lose the answer.
 _LINGER_BYTES = 262144
 _LINGER_SECONDS = 1.0
-# Connections that may wait to be accepted: a balancer that lost another
-# instance brings its callers all at once.
+# Connections that may wait to be accepted. When another instance fails, a load
+# balancer redirects all of its callers here at the same moment.
 _BACKLOG = 1024
-# Bytes that an open connection takes, with its greenlet and buffers, and the
-# rest of an instance. Unbounded, a flood of callers that come back on new
-# connections and keep the old ones ends an instance for its memory.
+# Memory in bytes of an open connection, with its greenlet and buffers, and of
+# an instance without connections. Without a limit, callers that retry on new
+# connections and keep the old ones open make the platform end the instance for
+# exceeding its memory.
 _CONNECTION_BYTES = 32e3
-_OTHER_BYTES = 64e6
-# The part of the connections that may be open beyond which refusals close
-# theirs: whoever is refused comes back on a new one.
-_CROWDED_PART = 0.5
-_LAST_LINES = (b'\r\n', b'\n')
+_BASE_BYTES = 64e6
+# Fraction of the connection limit above which a refusal closes its connection,
+# because refused callers retry on new connections and keep the old ones.
+_CROWDED_FRACTION = 0.5
+_EMPTY_LINES = (b'\r\n', b'\n')
 
 
-class _TooSlow(Exception):
-    """The headers took too long."""
+class _HeaderTimeout(Exception):
+    """The headers did not arrive within `limits.header_seconds`."""
 
 
-def _refuse_headers(what: str, status: int) -> errors.RequestRefused:
+def _build_header_error(problem: str, status: int) -> errors.RequestRefused:
     reason = 'headers_too_large' if status == 431 else 'malformed'
     return errors.RequestRefused(
         reason,
-        f'the headers {what}; send a request as RFC 9112 has it',
+        f'the headers {problem}; send a request that conforms to RFC 9112',
         status=status,
     )
 
 
 class Handler(pywsgi.WSGIHandler):
-    """One caller's connection."""
+    """Handles one caller's connection."""
 
     _timer: gevent.Timeout | None = None
 
     def read_requestline(self) -> str:
-        """Wait for a request, then read its first line."""
+        """Wait for a request, then read its request line."""
         limits = self.server.settings.limits
-        begun = b''
+        first_byte = b''
         with gevent.Timeout(limits.keep_alive_seconds, False):
-            begun = self.rfile.peek(1)
-        if not begun:
+            first_byte = self.rfile.peek(1)
+        if not first_byte:
             return ''
         self._timer = gevent.Timeout.start_new(
-            limits.header_seconds, _TooSlow()
+            limits.header_seconds, _HeaderTimeout()
         )
         try:
             return super().read_requestline()
-        except _TooSlow:
+        except _HeaderTimeout:
             self._stop_timer()
-            self._refuse(_describe_slow(limits.header_seconds))
+            self._refuse(_build_timeout_error(limits.header_seconds))
         return ''
 
     def read_request(self, raw_requestline: str) -> bool:
-        """Read and check the headers."""
+        """Read and validate the headers."""
         try:
             if not super().read_request(raw_requestline):
                 return False
         finally:
             self._stop_timer()
         if self.request_version not in ('HTTP/1.0', 'HTTP/1.1'):
-            raise _refuse_headers('name no version of HTTP/1', 400)
-        self._check_length()
+            raise _build_header_error(
+                'specify neither HTTP/1.0 nor HTTP/1.1', 400
+            )
+        self._check_framing()
         return True
 
     def MessageClass(self, *args: typing.Any) -> fields.Fields:
-        """Read the header lines (the server's name for it)."""
+        """Parse the header lines; the method name is set by the server."""
         try:
             return fields.Fields(self._read_header_lines())
         except fields.FieldsInvalid as error:
-            raise _refuse_headers(str(error), 400) from None
+            raise _build_header_error(str(error), 400) from None
 
     def _read_header_lines(self) -> list[bytes]:
-        """Return the lines before the empty one."""
-        most_bytes = left = self.server.settings.limits.header_bytes
+        """Return the header lines that precede the empty line."""
+        max_bytes = remaining = self.server.settings.limits.header_bytes
         lines = []
         while True:
-            line = self.rfile.readline(left + 1)
-            left -= len(line)
-            if left < 0:
-                raise _refuse_headers(
-                    f'are longer than {most_bytes} bytes', 431
+            line = self.rfile.readline(remaining + 1)
+            remaining -= len(line)
+            if remaining < 0:
+                raise _build_header_error(
+                    f'are larger than {max_bytes} bytes', 431
                 )
-            if line in _LAST_LINES:
+            if line in _EMPTY_LINES:
                 return lines
             if not line:
-                raise _refuse_headers('end before their empty line', 400)
+                raise _build_header_error('end before their empty line', 400)
             lines.append(line)
 
     def get_environ(self) -> application_.Environ:
-        """Add what the application needs beyond WSGI."""
+        """Add the connection's socket and the raw target to the environ."""
         environ = super().get_environ()
         environ[application_.SOCKET] = self.socket
         environ[application_.TARGET] = self.path
         return environ
 
     def handle_one_request(self) -> typing.Any:
-        """Handle one request, with a JSON body for a too long first line."""
+        """Handle one request; an overlong request line gets a JSON body."""
         result = super().handle_one_request()
         self._stop_timer()
         if isinstance(result, tuple) and result[0] == '414':
-            return self._encode(
+            return self._encode_error_reply(
                 errors.RequestRefused(
                     'target_too_long',
-                    'the request line is too long; shorten the target',
+                    'the request line is too long; send a shorter target',
                     status=414,
                 )
             )
         return result
 
     def handle_one_response(self) -> None:
-        """Answer; the request is in progress until its last byte is out."""
+        """Answer; the request is in progress until all is sent."""
         with self.server.progress.track():
             super().handle_one_response()
         if self.close_connection:
@@ -146,39 +150,46 @@
             self.socket.settimeout(None)
 
     def log_request(self) -> None:
-        """Do nothing: the application logs each request by its id."""
+        """Do nothing: the application logs each request with its id."""
 
     def _connection_upgrade_requested(self) -> bool:
-        # No upgrade is offered; taken for one, a request would have its
-        # body read up to the end of the connection.
+        # Upgrades are not supported. The server would read the body of a
+        # request treated as an upgrade up to the end of the connection.
         return False
 
     def _send_error_response_if_possible(self, error_code: int) -> None:
-        # Whatever gets here has no words left to send: the caller has left,
-        # or a stream is cut off on purpose.
+        # Only two cases get here, and neither can take an error answer: the
+        # caller has disconnected, or a stream is cut off on purpose.
         self.close_connection = True
 
-    def _check_length(self) -> None:
+    def _check_framing(self) -> None:
         coding = self.headers.get_all('transfer-encoding')
         if coding and [each.lower() for each in coding] != ['chunked']:
-            raise _refuse_headers('name a transfer coding but chunked', 400)
+            raise _build_header_error(
+                'specify a transfer coding other than chunked', 400
+            )
         lengths = self.headers.get_all('content-length')
-        # Two lengths, or one such as `+5`, are read differently by
-        # different servers: bytes of one request pass for another.
+        # Servers differ in how they read two lengths, or one such as `+5`.
+        # Part of one request's body could then be taken for another request
+        # (request smuggling).
         if len(set(lengths)) > 1 or not all(
             each.isascii() and each.isdigit() for each in lengths
         ):
-            raise _refuse_headers('hold no single valid length', 400)
+            raise _build_header_error(
+                'do not specify a single valid Content-Length', 400
+            )
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
-        if isinstance(ex, _TooSlow):
+        if isinstance(ex, _HeaderTimeout):
             limits = self.server.settings.limits
-            ex = _describe_slow(limits.header_seconds)
+            ex = _build_timeout_error(limits.header_seconds)
         elif not isinstance(ex, errors.RequestRefused):
-            ex = _refuse_headers(f'can not be read ({ex})', 400)
-        return self._encode(ex)
+            ex = _build_header_error(f'can not be parsed ({ex})', 400)
+        return self._encode_error_reply(ex)
 
-    def _encode(self, error: errors.RequestRefused) -> tuple[str, bytes]:
+    def _encode_error_reply(
+        self, error: errors.RequestRefused
+    ) -> tuple[str, bytes]:
         self.server.metrics.count('refusals', error.reason)
         request_id = uuid.uuid4().hex
         reply = replies.describe_error(error).build_reply(request_id)
@@ -193,7 +204,7 @@
 
     def _refuse(self, error: errors.RequestRefused) -> None:
         try:
-            self.socket.sendall(self._encode(error)[1])
+            self.socket.sendall(self._encode_error_reply(error)[1])
         except OSError:
             return
 
@@ -203,12 +214,12 @@
             self._timer = None
 
     def _linger(self) -> None:
-        sock, until = self.socket, time.monotonic() + _LINGER_SECONDS
+        sock, deadline = self.socket, time.monotonic() + _LINGER_SECONDS
         received = 0
         try:
             sock.shutdown(socket.SHUT_WR)
             while received < _LINGER_BYTES:
-                sock.settimeout(max(until - time.monotonic(), 0.001))
+                sock.settimeout(max(deadline - time.monotonic(), 0.001))
                 data = sock.recv(65536)
                 if not data:
                     return
@@ -217,16 +228,16 @@
             return
 
 
-def _describe_slow(seconds: float) -> errors.RequestRefused:
+def _build_timeout_error(seconds: float) -> errors.RequestRefused:
     return errors.RequestRefused(
         'header_timeout',
-        f'the headers took longer than {seconds:g} s; send them at once',
+        f'the headers took longer than {seconds:g} s; send them without delay',
         status=408,
     )
 
 
 def encode_reply(reply: replies.Reply, request_id: str) -> bytes:
-    """Return a whole answer's bytes, for connections without WSGI."""
+    """Return the bytes of a complete answer that is sent without WSGI."""
     lines = [f'HTTP/1.1 {replies.describe_status(reply.status)}']
     lines += [f'{name}: {value}' for name, value in reply.headers]
     lines += [
@@ -240,18 +251,18 @@
 def count_connections(settings: settings_.Settings) -> int:
     """Return how many callers' connections may be open at once.
 
-    As many as the settings say, and as the instance's memory holds where
-    that is known.
+    The limit from the settings, reduced to what fits in the instance's
+    memory if `limits.memory_megabytes` is set.
     """
     limits = settings.limits
     if not limits.memory_megabytes:
         return limits.connections
-    room = limits.memory_megabytes * 1e6 - _OTHER_BYTES
-    return max(1, min(limits.connections, int(room / _CONNECTION_BYTES)))
+    available = limits.memory_megabytes * 1e6 - _BASE_BYTES
+    return max(1, min(limits.connections, int(available / _CONNECTION_BYTES)))
 
 
 class Server(pywsgi.WSGIServer):
-    """Listens for callers; more connections than allowed are refused."""
+    """Listens for callers and refuses connections over the limit."""
 
     handler_class = Handler
 
@@ -267,8 +278,8 @@
         self.metrics = metrics
         self.progress = progress
         self._connections = 0
-        # The pool only lets `stop` find the connections; its size is none,
-        # so that one too many is answered instead of left waiting.
+        # The pool lets `stop` find the connections. It has no size limit, so
+        # that a connection over the limit gets a refusal instead of waiting.
         super().__init__(
             listener,
             application,
@@ -281,22 +292,24 @@
     def handle(self, sock: socket.socket, address: typing.Any) -> None:
         """Serve one connection."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        most = count_connections(self.settings)
-        if self._connections >= most:
+        limit = count_connections(self.settings)
+        if self._connections >= limit:
             self._refuse(sock)
             return
         self._connections += 1
-        self.progress.crowded = self._connections > _CROWDED_PART * most
+        self.progress.crowded = self._connections > _CROWDED_FRACTION * limit
         try:
             super().handle(sock, address)
         finally:
             self._connections -= 1
-            self.progress.crowded = self._connections > _CROWDED_PART * most
+            self.progress.crowded = (
+                self._connections > _CROWDED_FRACTION * limit
+            )
 
     def _refuse(self, sock: socket.socket) -> None:
         error = errors.RequestRefused(
             'connections',
-            'this instance has as many connections as it may; try again, or'
+            'this instance has reached its connection limit; try again, or'
             ' keep connections alive and share them',
             retry_after=1.0,
         )
--- a/src/amaranthslip/entry/usage.py
+++ b/src/amaranthslip/entry/usage.py
@@ -1,53 +1,54 @@
-"""Usage: the token counts inside a model's answer, found cheaply.
+"""Reads and removes token counts in a model's answer without parsing JSON.
 
-A router relays millions of chunks; decoding each one's JSON would cost more
-than all else together. The engine writes its counts in one known form, and
-inside a JSON string a quotation mark is escaped, so that `"usage":` with
-plain quotation marks can only be a key.
+A router relays millions of chunks, and decoding the JSON of each would cost
+more than the rest of its work together. Engines write their counts in a known
+form. Inside a JSON string a quotation mark is escaped, so that `"usage":`
+with unescaped quotation marks can only be a key.
 """
 
 import re
 import typing
 
-_COMPLETION = b'"completion_tokens":'
-_PROMPT = b'"prompt_tokens":'
+_COMPLETION_KEY = b'"completion_tokens":'
+_PROMPT_KEY = b'"prompt_tokens":'
 _NUMBER = re.compile(rb'\s*(\d+)')
-_OBJECT = rb'(?:null|\{[^{}]*(?:\{[^{}]*\}[^{}]*)*\})'
-# A literal prefix lets the regular expression skip ahead; engines that put
-# spaces into their JSON get the slower one.
-_COMPACT_USAGE = re.compile(rb',"usage":' + _OBJECT)
-_LOOSE_USAGE = re.compile(rb',\s*"usage"\s*:\s*' + _OBJECT)
-# As engines write it: compact, or in Python's own form.
-_NO_CHOICES = (b'"choices":[]', b'"choices": []')
+_USAGE_VALUE = rb'(?:null|\{[^{}]*(?:\{[^{}]*\}[^{}]*)*\})'
+# A literal prefix lets the regular expression engine skip ahead. JSON with
+# spaces needs the slower expression.
+_COMPACT_USAGE = re.compile(rb',"usage":' + _USAGE_VALUE)
+_LOOSE_USAGE = re.compile(rb',\s*"usage"\s*:\s*' + _USAGE_VALUE)
+# The two forms that engines write: compact JSON, and the default of Python's
+# `json` module.
+_EMPTY_CHOICES = (b'"choices":[]', b'"choices": []')
 _EVENT_END = b'\n\n'
 
 
 def read_completion_tokens(data: bytes) -> int | None:
-    """Return the last count of generated tokens in some bytes."""
-    return _read_number(data, _COMPLETION)
+    """Return the last count of generated tokens in `data`, if any."""
+    return _read_number(data, _COMPLETION_KEY)
 
 
 def read_prompt_tokens(data: bytes) -> int | None:
-    """Return the last count of prompt tokens in some bytes."""
-    return _read_number(data, _PROMPT)
+    """Return the last count of prompt tokens in `data`, if any."""
+    return _read_number(data, _PROMPT_KEY)
 
 
 def _read_number(data: bytes, name: bytes) -> int | None:
-    at = data.rfind(name)
-    if at < 0:
+    position = data.rfind(name)
+    if position < 0:
         return None
-    match = _NUMBER.match(data, at + len(name))
+    match = _NUMBER.match(data, position + len(name))
     return int(match[1]) if match else None
 
 
-def ask_for_usage(body: bytes, values: dict[str, typing.Any]) -> bytes | None:
-    """Return the body that also asks for usage in each chunk.
+def request_usage(body: bytes, values: dict[str, typing.Any]) -> bytes | None:
+    """Return the body with an added request for usage in each chunk.
 
     Returns
     -------
     bytes or None
-        None where the caller gave options of its own: those have to be
-        merged and the body encoded anew.
+        None if the caller sent `stream_options`: these have to be merged
+        and the body encoded again.
     """
     if 'stream_options' in values:
         return None
@@ -59,36 +60,38 @@
 
 
 def strip_usage(data: bytes, *, keep_last: bool) -> bytes:
-    """Take the usage out of events whose caller did not ask for it.
+    """Remove the usage that the caller did not request from events.
 
     Parameters
     ----------
     data : bytes
-        Whole events.
+        Complete events.
     keep_last : bool
-        Whether the event without choices, which ends a stream's usage, is
-        to stay: the caller asked for that one only.
+        Whether to keep the final usage event, which has no choices,
+        because the caller requested it.
     """
     if b'"usage"' not in data:
         return data
     if _has_no_choices(data):
-        return b''.join(_strip_events(data, keep_last))
-    return _strip(data)
+        return b''.join(_remove_usage_by_event(data, keep_last))
+    return _remove_usage(data)
 
 
 def _has_no_choices(data: bytes) -> bool:
-    return _NO_CHOICES[0] in data or _NO_CHOICES[1] in data
+    return _EMPTY_CHOICES[0] in data or _EMPTY_CHOICES[1] in data
 
 
-def _strip(data: bytes) -> bytes:
+def _remove_usage(data: bytes) -> bytes:
     if b',"usage":' in data:
         return _COMPACT_USAGE.sub(b'', data)
     return _LOOSE_USAGE.sub(b'', data)
 
 
-def _strip_events(data: bytes, keep_last: bool) -> typing.Iterator[bytes]:
+def _remove_usage_by_event(
+    data: bytes, keep_last: bool
+) -> typing.Iterator[bytes]:
     for event in data.split(_EVENT_END)[:-1]:
         if not _has_no_choices(event):
-            yield _strip(event) + _EVENT_END
+            yield _remove_usage(event) + _EVENT_END
         elif keep_last:
             yield event + _EVENT_END
