--- a/src/amaranthslip/entry/events.py
+++ b/src/amaranthslip/entry/events.py
@@ -113,17 +113,17 @@
     ) -> None:
         new_events = []
         for event in data.split(_EVENT_END)[:-1]:
-            number = _find_id(event)
-            if number is not None:
-                if number <= self.last_id:
+            event_id = _find_id(event)
+            if event_id is not None:
+                if event_id <= self.last_id:
                     # An earlier engine already sent this event.
                     continue
-                if number != self.last_id + 1:
+                if event_id != self.last_id + 1:
                     self._write(b''.join(new_events), headers)
                     raise _build_stream_error(
                         f'skipped events after event {self.last_id}'
                     )
-                self.last_id = number
+                self.last_id = event_id
             new_events.append(event + _EVENT_END)
         self._write(b''.join(new_events), headers)
 
@@ -145,8 +145,8 @@
 
 
 def _find_id(event: bytes) -> int | None:
-    found = _EVENT_ID.search(event)
-    return int(found.group(1)) if found else None
+    match = _EVENT_ID.search(event)
+    return int(match.group(1)) if match else None
 
 
 def _build_stream_error(problem: str) -> errors.BackendFailed:
--- a/src/amaranthslip/entry/resumption.py
+++ b/src/amaranthslip/entry/resumption.py
@@ -226,21 +226,21 @@
     Used when the engine failed between the last token and `[DONE]`. No token
     is left to generate, so the router writes the remaining events itself.
     """
-    first = dict(delivered.first_event or {})
-    first.pop('usage', None)
+    template = dict(delivered.first_event or {})
+    template.pop('usage', None)
     events = []
     if not delivered.finished:
         choice: Values = {'index': 0, 'finish_reason': 'length'}
-        chat = 'delta' in (first.get('choices') or [{}])[0]
+        chat = 'delta' in (template.get('choices') or [{}])[0]
         choice |= {'delta': {}} if chat else {'text': ''}
-        events.append(encode_event(first | {'choices': [choice]}))
+        events.append(encode_event(template | {'choices': [choice]}))
     if with_usage and not delivered.has_usage:
         usage = {
             'prompt_tokens': prompt_tokens,
             'total_tokens': prompt_tokens + tokens,
             'completion_tokens': tokens,
         }
-        ending = first | {'choices': [], 'usage': usage}
+        ending = template | {'choices': [], 'usage': usage}
         events.append(encode_event(ending))
     events.append(b'data: [DONE]\n\n')
     return b''.join(events)
--- a/src/amaranthslip/entry/usage.py
+++ b/src/amaranthslip/entry/usage.py
@@ -16,7 +16,7 @@
 # A literal prefix lets the regular expression engine skip ahead. JSON with
 # spaces needs the slower expression.
 _COMPACT_USAGE = re.compile(rb',"usage":' + _USAGE_VALUE)
-_LOOSE_USAGE = re.compile(rb',\s*"usage"\s*:\s*' + _USAGE_VALUE)
+_SPACED_USAGE = re.compile(rb',\s*"usage"\s*:\s*' + _USAGE_VALUE)
 # The two forms that engines write: compact JSON, and the default of Python's
 # `json` module.
 _EMPTY_CHOICES = (b'"choices":[]', b'"choices": []')
@@ -84,7 +84,7 @@
 def _remove_usage(data: bytes) -> bytes:
     if b',"usage":' in data:
         return _COMPACT_USAGE.sub(b'', data)
-    return _LOOSE_USAGE.sub(b'', data)
+    return _SPACED_USAGE.sub(b'', data)
 
 
 def _remove_usage_by_event(
--- a/tests/features/relay.feature
+++ b/tests/features/relay.feature
@@ -1,12 +1,12 @@
-Feature: Every caller gets its own whole answer, or an explicit error
+Feature: Every caller gets its own complete answer or an explicit error
 
-  Scenario Outline: A stream whose engine is lost by <loss> goes on elsewhere
-    # A student reads a hint while its engine dies. The text must go on as if
-    # nothing had happened: no word twice, none missing, the same id.
+  Scenario Outline: A stream whose engine fails with <loss> is resumed on another engine
+    # An engine fails in mid-stream. Another engine must continue the text
+    # without a missing or repeated token and under the same id.
     Given a relay before 2 stand-in engines
-    And the first engine of the relay <loss> after 7 tokens
-    When a caller of the relay streams 30 tokens by <path>
-    Then the caller of the relay got 30 tokens once each, one id and the end
+    And the first engine of the relay has the fault <loss> after 7 tokens
+    When a caller of the relay streams 30 tokens from <path>
+    Then the caller of the relay got 30 tokens once each, one id and "[DONE]"
     And the relay's usage adds up to 30 tokens
     And the relay charged the prompt once and 30 tokens
 
@@ -15,68 +15,68 @@
       | cut_after_tokens     | chat/completions |
       | cut_after_tokens     | completions      |
 
-  Scenario: A stream whose engine falls silent goes on elsewhere
-    # The engine hangs, or the network to it swallows everything: no end of
-    # the connection tells so, only that nothing comes any longer.
-    Given a relay before a sliced engine that falls silent, and a good one
-    When a caller of the relay streams with the usage at the end
-    Then the caller of the relay got 5 tokens, the usage and the end
+  Scenario: A stream whose engine stops sending is resumed on another engine
+    # The engine hangs, or the network to it drops all packets. The connection
+    # stays open, so that only an idle timeout can detect the failure.
+    Given a relay before an engine that stops sending, and a working one
+    When a caller of the relay streams with final usage
+    Then the caller of the relay got 5 tokens, the usage and "[DONE]"
     And the relay counts a retry for "idle"
 
-  Scenario: A stream that may not run twice ends in an explicit error
-    # The engine is lost while a stream runs that must not run again. What
-    # came so far must not pass for the whole answer.
+  Scenario: A stream that must not run twice ends in an explicit error
+    # The engine fails during a stream of a kind that must not be retried. The
+    # caller must not take the partial answer for a complete one.
     Given a relay before 2 stand-in engines
-    And the first engine of the relay cut_after_tokens after 7 tokens
+    And the first engine of the relay has the fault cut_after_tokens after 7 tokens
     When a caller of the relay streams 30 tokens of the kind "chat-once"
-    Then the relay's stream holds 7 tokens and an error, and no end
-    And the second engine of the relay got nothing
+    Then the relay's stream holds 7 tokens and an error, but no "[DONE]"
+    And the second engine of the relay got no request
 
-  Scenario: A stream that text can't continue ends in an explicit error
+  Scenario: A stream that can not be resumed from its text ends in an error
     Given a relay before 2 stand-in engines
-    And the first engine of the relay cut_after_tokens after 7 tokens
+    And the first engine of the relay has the fault cut_after_tokens after 7 tokens
     When a caller of the relay streams 30 tokens with guided decoding
-    Then the relay's stream holds 7 tokens and an error, and no end
+    Then the relay's stream holds 7 tokens and an error, but no "[DONE]"
 
-  Scenario: Only the end is missing, and the relay writes it
-    # The engine dies between its last token and the end of the stream.
-    # Nothing is left to generate, and a second run would cost for nothing.
-    Given a relay before a sliced engine that stops short of the end
-    When a caller of the relay streams with the usage at the end
-    Then the caller of the relay got 5 tokens, the usage and the end
-    And the sliced engine of the relay got one request
+  Scenario: The relay writes the end of a stream if only that is missing
+    # The engine fails between its last token and the end of the stream. No
+    # token is left to generate, so a second run would waste its cost.
+    Given a relay before an engine that fails just before the end of its stream
+    When a caller of the relay streams with final usage
+    Then the caller of the relay got 5 tokens, the usage and "[DONE]"
+    And the failing engine of the relay got one request
 
-  Scenario: An engine's error inside a stream is no answer
-    # An engine that fails in the middle writes an error event and then ends
-    # the stream as if it were whole.
-    Given a relay before a sliced engine that fails in words, and a good one
-    When a caller of the relay streams with the usage at the end
-    Then the caller of the relay got 5 tokens, the usage and the end
+  Scenario: An engine's error event inside a stream leads to a retry
+    # An engine that fails in mid-stream sends an error event and then ends the
+    # stream as if it were complete.
+    Given a relay before an engine that sends an error event, and a working one
+    When a caller of the relay streams with final usage
+    Then the caller of the relay got 5 tokens, the usage and "[DONE]"
 
-  Scenario Outline: A whole answer that is <fault> never passes for whole
-    # The connection breaks inside a report's answer, or the server gives no
-    # length. Half a report must not look like a report.
+  Scenario Outline: An answer that is <fault> is not relayed as a complete one
+    # The connection breaks inside an answer, or the answer has no length. A
+    # partial answer must not look like a complete one to the caller.
     Given a relay before a server whose answers are <fault>
-    When a caller of the relay asks for a status
-    Then the relay says that the outcome is unknown
-    Given a good server beside it
-    When a caller of the relay asks for a status
-    Then the caller of the relay got the good server's answer
+    When a caller of the relay requests a status
+    Then the relay reports an unknown outcome
+    Given the relay also has a working server
+    When a caller of the relay requests a status
+    Then the caller of the relay got the working server's answer
 
     Examples:
       | fault         |
-      | cut           |
-      | unmeasured    |
-      | unended       |
-      | headless      |
-      | crossed       |
-      | no HTTP       |
+      | truncated     |
+      | unframed      |
+      | unterminated  |
+      | cut in header |
+      | mismatched    |
+      | not HTTP      |
 
-  Scenario Outline: A <fault> answer reaches nobody else
-    # A server answers twice, or again later. The connection is kept for the
-    # next caller, who would get the answer of the one before.
+  Scenario Outline: An answer that comes <fault> does not reach another caller
+    # A server answers twice, at once or later. The connection is reused for
+    # the next caller, which could get the previous caller's answer.
     Given a relay before a server whose answers come <fault>
-    When two callers of the relay ask for a status one after the other
+    When two callers of the relay request a status one after the other
     Then each caller of the relay got its own answer
 
     Examples:
@@ -84,8 +84,8 @@
       | twice |
       | late  |
 
-  Scenario: Whatever is sliced and cut wherever, nobody gets a wrong answer
-    # Chunk boundaries fall inside events and inside characters, engines are
-    # lost at any byte, several callers stream at once.
-    When streams are sliced and cut in many ways before the relay
+  Scenario: No caller gets a wrong answer, wherever streams are split and cut
+    # Chunk boundaries fall inside events and inside characters, engines fail
+    # at any byte, and several callers stream at the same time.
+    When streams to the relay are split and cut at many positions
     Then each caller of the relay always got its own answer or an error
--- a/tests/features/steps/limits.py
+++ b/tests/features/steps/limits.py
@@ -1,4 +1,4 @@
-"""Steps about what the entry refuses, and whom that concerns."""
+"""Steps about requests and connections that the entry refuses."""
 
 import behave
 
@@ -13,66 +13,68 @@
     sides.start_served(context, connections=count)
 
 
-def _write_fault(fault):
+def _write_faulty_request(fault):
     chat = exchanges.write_chat('LENGTH=2')
-    large = exchanges.write_chat('x' * sides.BODY_BYTES)
+    oversized_chat = exchanges.write_chat('x' * sides.BODY_BYTES)
     path = '/v1/chat/completions'
     request = exchanges.write_request
-    good = request('POST', path, chat)
+    valid = request('POST', path, chat)
     chunk = exchanges.write_chunk(b'x' * (sides.BODY_BYTES + 1))
-    chunked = good.partition(b'Content-Length')[0]
+    chunked = valid.partition(b'Content-Length')[0]
     length = b'Content-Length'
     match fault:
         case 'keyless':
             return request('POST', path, chat, key='')
-        case 'wrongly keyed':
+        case 'unknown-key':
             return request('POST', path, chat, key='key-x')
         case 'non-JSON':
             return request('POST', path, b'{"model":')
-        case 'modelless':
+        case 'model-less':
             return request('POST', path, {'messages': []})
-        case 'forbidden':
+        case 'forbidden-service':
             return request('POST', path, chat | {'model': 'other'})
-        case 'misdirected':
+        case 'unknown-path':
             return request('GET', '/v2/models')
-        case 'misnamed-kind':
+        case 'unknown-kind':
             return request('POST', path, chat, X_Request_Kind='look')
         case 'wrong-method':
             return request('GET', path)
         case 'oversized':
-            return request('POST', path, large)
+            return request('POST', path, oversized_chat)
         case 'oversized-chunked':
             return chunked + b'Transfer-Encoding: chunked\r\n\r\n' + chunk
-        case 'long-headed':
+        case 'large-header':
             return request('GET', '/v1/models', X_Long='x' * 4096)
-        case 'long-lined':
+        case 'long-target':
             return request('GET', '/' + 'x' * 9000)
         case 'folded-header':
-            return good.replace(b'Host', b'X-A: b\r\n X-Forged: c\r\nHost')
+            return valid.replace(b'Host', b'X-A: b\r\n X-Forged: c\r\nHost')
         case 'two-length':
-            return good.replace(length, b'Content-Length: 5\r\n' + length)
-        case 'odd-length':
-            return good.replace(b'Content-Length: ', b'Content-Length: +')
-        case 'odd-coding':
+            return valid.replace(length, b'Content-Length: 5\r\n' + length)
+        case 'signed-length':
+            return valid.replace(b'Content-Length: ', b'Content-Length: +')
+        case 'unknown-coding':
             return chunked + b'Transfer-Encoding: gzip, chunked\r\n\r\n'
         case 'dot-path':
             return request('POST', '/services/booking/status/../bookings')
-        case 'slow-headed':
-            return good.partition(b'\r\n\r\n')[0]
-        case 'slow-bodied':
-            return good[:-1]
+        case 'slow-header':
+            return valid.partition(b'\r\n\r\n')[0]
+        case 'slow-body':
+            return valid[:-1]
     raise AssertionError(fault)
 
 
 @behave.when('a caller sends the entry a {fault} request')
-def send_fault(context, fault):
+def send_faulty_request(context, fault):
     caller = sides.connect(context)
-    caller.send(_write_fault(fault))
+    caller.send(_write_faulty_request(fault))
     context.received.append(caller.receive())
-    context.faulty = caller
+    context.refused_caller = caller
 
 
-@behave.then('the entry refuses it with {status:d} and "{code}" as not run')
+@behave.then(
+    'the entry refuses the request with {status:d} and "{code}" as not run'
+)
 def check_refusal(context, status, code):
     received = context.received[-1]
     assert received.status == status, received.data
@@ -82,8 +84,9 @@
     assert received.error['request_id'] == received.headers['x-request-id']
     assert context.side.metrics.read('refusals', code) == 1
     if received.headers.get('connection') == 'close':
-        # It holds no connection with what it never sends.
-        assert context.faulty.socket.recv(1) == b''
+        # The entry must close the connection without waiting for the rest
+        # of the request.
+        assert context.refused_caller.socket.recv(1) == b''
 
 
 @behave.then('another caller of the entry is still served')
@@ -103,8 +106,8 @@
 
 @behave.when('{count:d} callers hold connections to the entry')
 def hold_connections(context, count):
-    context.holding = [sides.connect(context) for _ in range(count)]
-    for caller in context.holding:
+    context.open_callers = [sides.connect(context) for _ in range(count)]
+    for caller in context.open_callers:
         assert caller.ask('GET', '/v1/models').status == 200
 
 
@@ -115,16 +118,17 @@
     assert received.error['not_run'] and received.headers['retry-after']
 
 
-@behave.when('one of them leaves the entry')
-def leave(context):
-    context.holding[0].close()
+@behave.when('one of these callers disconnects from the entry')
+def disconnect_one(context):
+    context.open_callers[0].close()
     exchanges.wait_until(
         lambda: exchanges.ask(context.side, 'GET', '/v1/models').status == 200
     )
 
 
 @behave.given(
-    'the entry has {memory:d} megabytes, and allows {count:d} connections'
+    'the entry has {memory:d} megabytes of memory and allows {count:d}'
+    ' connections'
 )
 def limit_memory(context, memory, count):
     context.settings = callers.build_settings(
@@ -133,18 +137,20 @@
 
 
 @behave.then('{count:d} connections may be open at the entry')
-def check_most(context, count):
+def check_connection_limit(context, count):
     assert server.count_connections(context.settings) == count
 
 
 @behave.when('another caller is refused by the entry')
-def be_refused(context):
+def send_unknown_key(context):
     caller = sides.connect(context)
-    context.refused = caller.ask('GET', '/v1/models', key='key-nobody')
-    assert context.refused.status == 401
+    context.refused_answer = caller.ask('GET', '/v1/models', key='key-nobody')
+    assert context.refused_answer.status == 401
 
 
-@behave.then('the entry {does} its connection with the answer')
-def check_closing(context, does):
-    closes = context.refused.headers.get('connection', '').lower() == 'close'
-    assert closes == (does == 'closes'), context.refused.headers
+@behave.then('the entry {action} the connection with its answer')
+def check_closing(context, action):
+    closes = (
+        context.refused_answer.headers.get('connection', '').lower() == 'close'
+    )
+    assert closes == (action == 'closes'), context.refused_answer.headers
--- a/tests/features/steps/relay.py
+++ b/tests/features/steps/relay.py
@@ -1,4 +1,4 @@
-"""Steps about the relay of answers: cuts, resumption, mix-ups."""
+"""Steps about relaying answers: cuts, resumption, mismatched answers."""
 
 import behave
 import gevent
@@ -11,18 +11,18 @@
 from tests.support import sides
 
 _PROMPT = 'relatório LENGTH={}'
-_ERROR_TIMEOUT = 20
+_WAIT_SECONDS = 20
 
 
 def _start(context, **options):
     sides.start(context, backends={'idle_seconds': 0.3}, **options)
 
 
-def _add_sliced(context, plan):
-    return sides.add(context, exchanges.SlicedEngine(plan))
+def _add_chunked(context, plan):
+    return sides.add(context, exchanges.ChunkedEngine(plan))
 
 
-def _expect(count, *, chat=True):
+def _build_expected_text(count, *, chat=True):
     prompt = _PROMPT.format(count)
     if chat:
         message = {'role': 'user', 'content': prompt}
@@ -38,28 +38,31 @@
     _start(context, engines=[each.address for each in context.engines])
 
 
-@behave.given('the first engine of the relay {mode} after {tokens:d} tokens')
+@behave.given(
+    'the first engine of the relay has the fault {mode} after'
+    ' {tokens:d} tokens'
+)
 def fail_engine(context, mode, tokens):
     context.engines[0].fail(mode, tokens)
 
 
-def _stream(context, count, *, path='chat/completions', kind='chat', **more):
+def _stream(context, count, *, path='chat/completions', kind='chat', **fields):
     prompt = _PROMPT.format(count)
-    values = exchanges.write_chat(prompt, stream=True, **more)
+    values = exchanges.write_chat(prompt, stream=True, **fields)
     if path == 'completions':
-        values = {'model': 'llm', 'prompt': prompt, 'stream': True} | more
+        values = {'model': 'llm', 'prompt': prompt, 'stream': True} | fields
     context.received = exchanges.ask(
         context.side, 'POST', f'/v1/{path}', values, X_Request_Kind=kind
     )
 
 
-_ALL_USAGE = {'include_usage': True, 'continuous_usage_stats': True}
+_USAGE_IN_EACH_EVENT = {'include_usage': True, 'continuous_usage_stats': True}
 
 
-@behave.when('a caller of the relay streams {count:d} tokens by {path}')
+@behave.when('a caller of the relay streams {count:d} tokens from {path}')
 def stream_by(context, count, path):
     context.path = path
-    _stream(context, count, path=path, stream_options=_ALL_USAGE)
+    _stream(context, count, path=path, stream_options=_USAGE_IN_EACH_EVENT)
 
 
 @behave.when(
@@ -77,13 +80,15 @@
 
 
 @behave.then(
-    'the caller of the relay got {count:d} tokens once each, one id and'
-    ' the end'
+    'the caller of the relay got {count:d} tokens once each, one id'
+    ' and "[DONE]"'
 )
 def check_resumed(context, count):
     received = context.received
     chat = context.path != 'completions'
-    assert received.text == _expect(count, chat=chat), received.text
+    assert received.text == _build_expected_text(count, chat=chat), (
+        received.text
+    )
     assert len({each['id'] for each in received.events}) == 1
     assert received.done and received.complete
     finished = [
@@ -115,7 +120,8 @@
     prompt = context.received.events[0]['usage']['prompt_tokens']
     charged = sum(each.charged for each in context.side.scheduler.grants)
     assert charged == prompt * 0.5 + count, charged
-    # Charged as they were delivered, not at an end that never came.
+    # Tokens are charged as they are delivered: the first engine never sent
+    # the end of its stream.
     assert context.side.scheduler.grants[0].charged == prompt * 0.5 + 7
     assert [each.outcome for each in context.side.scheduler.grants] == [
         outcomes.Outcome.FAILED,
@@ -124,48 +130,50 @@
 
 
 @behave.then(
-    "the relay's stream holds {count:d} tokens and an error, and no end"
+    'the relay\'s stream holds {count:d} tokens and an error, but no "[DONE]"'
 )
 def check_error(context, count):
     received = context.received
     *events, last = received.events
     text = ''.join(exchanges.read_text(each['choices'][0]) for each in events)
     assert text == ''.join(
-        f'{word}' for word in _split(_expect(30))[:count]
+        f'{word}' for word in _split_words(_build_expected_text(30))[:count]
     ), text
     assert last['error']['code'] == 'outcome_unknown'
     assert last['error']['not_run'] is False
     assert not received.done and not received.complete
 
 
-def _split(text):
+def _split_words(text):
     return [f' {word}' for word in text.split()]
 
 
-@behave.then('the second engine of the relay got nothing')
-def check_unused(context):
+@behave.then('the second engine of the relay got no request')
+def check_second_engine_unused(context):
     assert context.engines[1].engine.started == 0
 
 
-@behave.given('a relay before a sliced engine that stops short of the end')
-def start_short(context):
-    short = len(b'data: [DONE]\n\n')
+@behave.given(
+    'a relay before an engine that fails just before the end of its stream'
+)
+def start_without_end(context):
+    done_length = len(b'data: [DONE]\n\n')
 
     def plan(text):
         prompt = generation.Prompt(text, '')
         body = exchanges.write_events(prompt, 100000)
         usage = body.rindex(b'data: {')
-        return exchanges.Plan(cut=usage + short, sizes=(50,))
+        return exchanges.StreamPlan(cut=usage + done_length, sizes=(50,))
 
-    context.sliced = _add_sliced(context, plan)
-    _start(context, engines=[context.sliced.address])
+    context.failing_engine = _add_chunked(context, plan)
+    _start(context, engines=[context.failing_engine.address])
 
 
 @behave.given(
-    'a relay before a sliced engine that fails in words, and a good one'
+    'a relay before an engine that sends an error event, and a working one'
 )
-def start_failing(context):
-    def follow(script, sock):
+def start_sending_error(context):
+    def respond(script, sock):
         script.read(sock)
         message = {'role': 'user', 'content': _PROMPT.format(5)}
         prompt = generation.Prompt(generation.flatten([message]), '')
@@ -176,39 +184,37 @@
         sock.sendall(exchanges.STREAM_HEAD + exchanges.write_chunk(body))
         sock.sendall(b'0\r\n\r\n')
 
-    failing = sides.add_script(context, follow)
-    good = _add_sliced(context, lambda text: exchanges.Plan())
-    _start(context, engines=[failing.address, good.address])
+    failing = sides.add_script(context, respond)
+    working = _add_chunked(context, lambda text: exchanges.StreamPlan())
+    _start(context, engines=[failing.address, working.address])
 
 
-@behave.given(
-    'a relay before a sliced engine that falls silent, and a good one'
-)
+@behave.given('a relay before an engine that stops sending, and a working one')
 def start_silent(context):
-    silent = exchanges.Plan(cut=600, sizes=(50,), end='hang')
+    silent = exchanges.StreamPlan(cut=600, sizes=(50,), end='hang')
     engines = [
-        _add_sliced(context, lambda text: silent),
-        _add_sliced(context, lambda text: exchanges.Plan()),
+        _add_chunked(context, lambda text: silent),
+        _add_chunked(context, lambda text: exchanges.StreamPlan()),
     ]
     _start(context, engines=[each.address for each in engines])
 
 
 @behave.then('the relay counts a retry for "{reason}"')
-def check_reason(context, reason):
+def check_retry_reason(context, reason):
     assert context.side.metrics.read('retries', reason) == 1
 
 
-@behave.when('a caller of the relay streams with the usage at the end')
+@behave.when('a caller of the relay streams with final usage')
 def stream_usage(context):
     _stream(context, 5, stream_options={'include_usage': True})
 
 
 @behave.then(
-    'the caller of the relay got {count:d} tokens, the usage and the end'
+    'the caller of the relay got {count:d} tokens, the usage and "[DONE]"'
 )
-def check_ending(context, count):
+def check_final_usage(context, count):
     received = context.received
-    assert received.text == _expect(count), received.body
+    assert received.text == _build_expected_text(count), received.body
     assert received.done and received.complete
     assert received.body.count(b'[DONE]') == 1
     assert received.body.count(b'"usage"') == 1
@@ -216,100 +222,100 @@
     assert b'"error"' not in received.body
 
 
-@behave.then('the sliced engine of the relay got one request')
+@behave.then('the failing engine of the relay got one request')
 def check_one_request(context):
-    assert len(context.sliced.bodies) == 1
+    assert len(context.failing_engine.bodies) == 1
 
 
-_FAULTY = {
-    'cut': b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nwrong',
-    'unmeasured': b'HTTP/1.1 200 OK\r\n\r\nwrong',
-    'unended': b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
+_FAULTY_ANSWERS = {
+    'truncated': b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nwrong',
+    'unframed': b'HTTP/1.1 200 OK\r\n\r\nwrong',
+    'unterminated': b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
     b'5\r\nwrong\r\n',
-    'headless': b'HTTP/1.1 200 OK\r\nContent-Le',
-    'crossed': exchanges.write_answer(b'wrong', X_Request_Id='another'),
-    'no HTTP': b'wrong wrong wrong\r\n\r\n',
+    'cut in header': b'HTTP/1.1 200 OK\r\nContent-Le',
+    'mismatched': exchanges.write_answer(b'wrong', X_Request_Id='another'),
+    'not HTTP': b'wrong wrong wrong\r\n\r\n',
 }
 
 
 @behave.given('a relay before a server whose answers are {fault}')
 def start_faulty(context, fault):
-    def follow(script, sock):
+    def respond(script, sock):
         script.read(sock)
-        sock.sendall(_FAULTY[fault])
+        sock.sendall(_FAULTY_ANSWERS[fault])
 
-    context.faulty = sides.add_script(context, follow)
+    context.faulty = sides.add_script(context, respond)
     _start(context, plain=[context.faulty.address])
 
 
-@behave.when('a caller of the relay asks for a status')
-def ask_status(context):
+@behave.when('a caller of the relay requests a status')
+def request_status(context):
     context.received = exchanges.ask(
         context.side, 'GET', '/services/booking/status'
     )
 
 
-@behave.then('the relay says that the outcome is unknown')
-def check_unknown(context):
+@behave.then('the relay reports an unknown outcome')
+def check_outcome_unknown(context):
     assert context.received.status == 502, context.received.data
     assert context.received.error['code'] == 'outcome_unknown'
     assert context.received.error['not_run'] is False
     assert b'wrong' not in context.received.data
 
 
-@behave.given('a good server beside it')
-def add_good(context):
-    def follow(script, sock):
+@behave.given('the relay also has a working server')
+def add_working_server(context):
+    def respond(script, sock):
         while script.read(sock):
             sock.sendall(exchanges.write_answer(b'good'))
 
-    good = sides.add_script(context, follow)
+    working = sides.add_script(context, respond)
     context.side.holder.document = callers.build_document(
-        plain=[context.faulty.address, good.address]
+        plain=[context.faulty.address, working.address]
     )
 
 
-@behave.then("the caller of the relay got the good server's answer")
-def check_good(context):
+@behave.then("the caller of the relay got the working server's answer")
+def check_working_answer(context):
     assert context.received.status == 200, context.received.data
     assert context.received.body == b'good'
 
 
 @behave.given('a relay before a server whose answers come {fault}')
-def start_mixing(context, fault):
-    context.answered, context.late = event.Event(), event.Event()
+def start_repeating(context, fault):
+    context.answered, context.late_sent = event.Event(), event.Event()
 
-    def follow(script, sock):
+    def respond(script, sock):
         while request := script.read(sock):
             target = request.split()[1]
             answer = exchanges.write_answer(target)
             sock.sendall(answer * 2 if fault == 'twice' else answer)
             if fault == 'late' and len(script.requests) == 1:
-                gevent.spawn(_send_late, context, sock, answer)
+                gevent.spawn(_send_late_answer, context, sock, answer)
 
-    context.script = sides.add_script(context, follow)
+    context.script = sides.add_script(context, respond)
     _start(context, plain=[context.script.address])
     if fault == 'twice':
-        context.late.set()
+        context.late_sent.set()
 
 
-def _send_late(context, sock, answer):
+def _send_late_answer(context, sock, answer):
     context.answered.wait()
     sock.sendall(answer)
-    context.late.set()
+    context.late_sent.set()
 
 
-@behave.when('two callers of the relay ask for a status one after the other')
-def ask_two(context):
+@behave.when('two callers of the relay request a status one after the other')
+def request_two_statuses(context):
     context.answers = []
     for number in '12':
         path = f'/services/booking/status/{number}'
         received = exchanges.ask(context.side, 'GET', path)
         context.answers.append(received.body)
         context.answered.set()
-        assert context.late.wait(_ERROR_TIMEOUT)
+        assert context.late_sent.wait(_WAIT_SECONDS)
 
 
 @behave.then('each caller of the relay got its own answer')
-def check_own(context):
+def check_own_answers(context):
     assert context.answers == [b'/status/1', b'/status/2'], context.answers
--- a/tests/features/steps/relay_fuzz.py
+++ b/tests/features/steps/relay_fuzz.py
@@ -1,4 +1,4 @@
-"""Steps that slice and cut streams in many ways before the relay."""
+"""Steps that split and cut streams to the relay at drawn positions."""
 
 import behave
 import gevent
@@ -10,29 +10,39 @@
 from tests.support import sides
 
 
-_PIECES = strategies.lists(strategies.integers(1, 400), min_size=1, max_size=6)
-_CUT = strategies.one_of(strategies.none(), strategies.integers(0, 3000))
-_PLANS = strategies.builds(
-    exchanges.Plan,
-    cut=_CUT,
-    sizes=_PIECES,
+_CHUNK_SIZES = strategies.lists(
+    strategies.integers(1, 400), min_size=1, max_size=6
+)
+_CUT_POSITION = strategies.one_of(
+    strategies.none(), strategies.integers(0, 3000)
+)
+_STREAM_PLANS = strategies.builds(
+    exchanges.StreamPlan,
+    cut=_CUT_POSITION,
+    sizes=_CHUNK_SIZES,
     end=strategies.sampled_from(['close', 'reset']),
 )
-# For each caller: how each of the engines in turn answers it.
-_CALLERS = strategies.lists(
-    strategies.tuples(_PLANS, _PLANS, _PLANS), min_size=1, max_size=4
+# For each caller, one plan for each of the three engines' answers.
+_CALLER_PLANS = strategies.lists(
+    strategies.tuples(_STREAM_PLANS, _STREAM_PLANS, _STREAM_PLANS),
+    min_size=1,
+    max_size=4,
 )
 
 
-@behave.when('streams are sliced and cut in many ways before the relay')
-def fuzz(context):
+@behave.when('streams to the relay are split and cut at many positions')
+def relay_drawn_streams(context):
     plans = {}
     engines = [
         sides.add(
             context,
-            exchanges.SlicedEngine(lambda text, turn=turn: plans[text][turn]),
+            exchanges.ChunkedEngine(
+                lambda text, engine_number=engine_number: plans[text][
+                    engine_number
+                ]
+            ),
         )
-        for turn in range(3)
+        for engine_number in range(3)
     ]
     addresses = [each.address for each in engines]
     side = sides.start(context, engines=addresses)
@@ -41,25 +51,25 @@
     @hypothesis.settings(
         derandomize=True, max_examples=120, deadline=None, database=None
     )
-    @hypothesis.given(_CALLERS, strategies.booleans())
-    def check(drawn, usage):
+    @hypothesis.given(_CALLER_PLANS, strategies.booleans())
+    def check(plans_by_caller, usage):
         plans.clear()
         values = {}
-        for number, caller_plans in enumerate(drawn):
+        for number, caller_plans in enumerate(plans_by_caller):
             text = f'caller {number} ção LENGTH={3 + number}'
             message = {'role': 'user', 'content': text}
             plans[generation.flatten([message])] = caller_plans
             values[number] = exchanges.write_chat(text, stream=True)
             if usage:
                 values[number]['stream_options'] = {'include_usage': True}
-        asked = [
+        greenlets = [
             gevent.spawn(
                 exchanges.ask, side, 'POST', '/v1/chat/completions', each
             )
             for each in values.values()
         ]
-        gevent.joinall(asked, raise_error=True, timeout=20)
-        for prompt, greenlet in zip(plans, asked, strict=True):
+        gevent.joinall(greenlets, raise_error=True, timeout=20)
+        for prompt, greenlet in zip(plans, greenlets, strict=True):
             _check_own_or_error(context, prompt, greenlet.get(), usage)
         assert side.scheduler.in_use == 0
 
@@ -92,6 +102,6 @@
 
 
 @behave.then('each caller of the relay always got its own answer or an error')
-def check_fuzzed(context):
+def check_tally(context):
     assert context.tally['whole'] > 50, context.tally
     assert context.tally['refused'] > 5, context.tally
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -1,4 +1,4 @@
-"""A callers' side for tests: an entry with small fakes around it."""
+"""An HTTP entry for tests, with fakes for the parts that it depends on."""
 
 import hashlib
 import random
@@ -19,14 +19,14 @@
 
 
 class Holder:
-    """Holds a document that tests may replace."""
+    """Fake configuration holder whose document tests may replace."""
 
-    def __init__(self, held):
-        self.document = held
+    def __init__(self, configuration):
+        self.document = configuration
 
 
 class Grant:
-    """Records what is charged and how it ends."""
+    """Fake grant that records its charges and its outcome."""
 
     def __init__(self, scheduler, server):
         self.backend_server = server
@@ -35,7 +35,7 @@
         self._scheduler = scheduler
 
     def charge(self, tokens):
-        assert self.outcome is None, 'charged after its end'
+        assert self.outcome is None, 'charged after the grant was finished'
         self.charged += tokens
 
     def finish(self, outcome):
@@ -45,7 +45,7 @@
 
 
 class Scheduler:
-    """Grants the first server of the service that is not excluded."""
+    """Fake scheduler: grants the service's first server not excluded."""
 
     def __init__(self, holder):
         self._holder = holder
@@ -71,12 +71,14 @@
                 self.grants.append(Grant(self, server))
                 return self.grants[-1]
         raise errors.RequestRefused(
-            'no_server', 'no backend server is left; wait', retry_after=1
+            'no_server',
+            'all backend servers are excluded; wait',
+            retry_after=1,
         )
 
 
 class Claim:
-    """Records how it is settled."""
+    """Fake claim that records the state in which it is settled."""
 
     def __init__(self):
         self.state = None
@@ -86,7 +88,7 @@
 
 
 class Claims:
-    """Claims each key once, and refuses it from then on."""
+    """Fake claims store: accepts each key once and refuses repetitions."""
 
     def __init__(self):
         self.claimed = {}
@@ -96,26 +98,26 @@
         if self.refusal is not None:
             raise self.refusal
         if (client_account, key) in self.claimed:
-            raise errors.RequestRepeated('already_done', 'it has run')
+            raise errors.RequestRepeated('already_done', 'the request has run')
         claim = self.claimed[client_account, key] = Claim()
         return claim
 
 
 class Estimator:
-    """Estimates the same for all, and records what it could learn."""
+    """Fake estimator with a fixed estimate; records the actual tokens."""
 
     def __init__(self):
-        self.learnt = []
+        self.recorded = []
 
     def estimate(self, client_account, kind, prompt_tokens):
         return 100.0
 
     def learn(self, client_account, kind, tokens):
-        self.learnt.append(tokens)
+        self.recorded.append(tokens)
 
 
 class QuarantineStore:
-    """Discards all entries."""
+    """Fake quarantine store that discards all entries."""
 
     def put(self, fingerprint, crashes):
         pass
@@ -128,7 +130,7 @@
 
 
 def build_settings(**sections):
-    """Return settings with a port from the kernel."""
+    """Return settings with ports chosen by the kernel."""
     values = {
         'instance': {'name': 'e1', 'failure_domain': 'a', 'region': 'r'},
         'addresses': {
@@ -147,7 +149,7 @@
 
 
 def build_document(engines=(), plain=(), *, deadline=30.0):
-    """Return a document: service `llm` (model) and `booking` (plain)."""
+    """Return a document with the services `llm` and `booking` (plain)."""
     servers = [
         document.BackendServer(
             name=f'{service}-{number}',
@@ -194,18 +196,18 @@
     )
 
 
-class Prompt(random.Random):
-    """Draws the shortest waits, so that tests don't wait for retries."""
+class LowestRandom(random.Random):
+    """Draws the lower bound, so that tests don't wait between retries."""
 
     def uniform(self, low, high):
         return low
 
 
 class Side:
-    """One entry on a port of its own, with what surrounds it."""
+    """One HTTP entry on its own port, with its fake dependencies."""
 
-    def __init__(self, held, **sections):
-        self.holder = Holder(held)
+    def __init__(self, configuration, **sections):
+        self.holder = Holder(configuration)
         self.scheduler = Scheduler(self.holder)
         self.claims = Claims()
         self.estimator = Estimator()
@@ -225,7 +227,7 @@
                 QuarantineStore(),
                 self.metrics,
             ),
-            random=Prompt(),
+            random=LowestRandom(),
         )
         self.entry.start()
 
--- a/tests/support/exchanges.py
+++ b/tests/support/exchanges.py
@@ -1,4 +1,4 @@
-"""Raw exchanges: callers that misbehave, servers that follow a script."""
+"""Raw HTTP exchanges: test callers, scripted and stand-in servers."""
 
 import json
 import re
@@ -16,12 +16,12 @@
 from standins import server as standin_server
 
 _TIMEOUT = 20
-# The SO_LINGER option by which a close resets the connection.
+# The SO_LINGER value with which closing a socket resets its connection.
 RESET = struct.pack('ii', 1, 0)
 
 
-class Received:
-    """One answer as a caller got it."""
+class ReceivedAnswer:
+    """One answer as received by a caller."""
 
     def __init__(self, parser, body, data):
         self.status = parser.status_code if parser.headers_complete else 0
@@ -55,7 +55,7 @@
 
     @property
     def done(self):
-        """Whether it passes for a whole stream."""
+        """Whether the answer holds the end marker of a stream."""
         return b'data: [DONE]' in self.body
 
 
@@ -76,7 +76,7 @@
 
 
 class Caller:
-    """One caller's connection."""
+    """One caller's connection to an instance."""
 
     def __init__(self, address):
         self.socket = socket.create_connection(address, timeout=_TIMEOUT)
@@ -85,7 +85,7 @@
         self.socket.sendall(data)
 
     def receive(self, method='GET'):
-        """Return the next answer, whole or as far as it came."""
+        """Return the next answer, complete or up to where it was cut."""
         parser, data = _Parser(method), b''
         while not parser.message_complete:
             try:
@@ -96,10 +96,10 @@
                 break
             data += piece
             parser.feed(piece)
-        return Received(parser, parser.body, data)
+        return ReceivedAnswer(parser, parser.body, data)
 
     def read_until(self, marker):
-        """Return what comes up to some bytes."""
+        """Return the bytes received until they contain `marker`."""
         data = b''
         while marker not in data:
             piece = self.socket.recv(65536)
@@ -116,7 +116,7 @@
 
 
 def write_request(method, path, body=b'', *, key='key-sol', **headers):
-    """Return a request's bytes; a body that is no bytes is sent as JSON."""
+    """Return a request's bytes; a body other than bytes is sent as JSON."""
     if not isinstance(body, bytes):
         body = json.dumps(body).encode()
     lines = [f'{method} {path} HTTP/1.1', 'Host: entry']
@@ -136,7 +136,7 @@
 
 
 def ask(side, *args, **options):
-    """Ask once on a connection of its own."""
+    """Send one request on a new connection and return its answer."""
     caller = Caller(side.address)
     try:
         return caller.ask(*args, **options)
@@ -145,14 +145,14 @@
 
 
 class Script:
-    """A backend server whose connections follow a function."""
+    """A backend server whose connections are handled by a function."""
 
-    def __init__(self, follow):
+    def __init__(self, respond):
         self.requests = []
         self.connections = 0
         self.crashed = False
         self._sockets = set()
-        self._follow = follow
+        self._respond = respond
         self._server = server.StreamServer(('127.0.0.1', 0), self._serve)
         self._server.start()
         self.address = f'127.0.0.1:{self._server.server_port}'
@@ -161,7 +161,7 @@
         self.connections += 1
         self._sockets.add(sock)
         try:
-            self._follow(self, sock)
+            self._respond(self, sock)
         except OSError:
             return
         finally:
@@ -175,7 +175,7 @@
             sock.shutdown(socket.SHUT_RDWR)
 
     def read(self, sock):
-        """Read one request and return its bytes; b'' at the end."""
+        """Read one request and return its bytes; b'' at the stream's end."""
         data = b''
         while b'\r\n\r\n' not in data:
             piece = sock.recv(65536)
@@ -194,7 +194,7 @@
 
 
 def write_answer(body, *, status='200 OK', **headers):
-    """Return a whole answer's bytes."""
+    """Return the bytes of a complete answer."""
     lines = [f'HTTP/1.1 {status}', f'Content-Length: {len(body)}']
     lines += [
         f'{name.replace("_", "-")}: {value}' for name, value in headers.items()
@@ -209,12 +209,12 @@
 
 
 def write_chunk(data):
-    """Return bytes as one chunk of a chunked answer."""
+    """Return `data` as one chunk of a chunked answer."""
     return b'%x\r\n%s\r\n' % (len(data), data)
 
 
 class Engine:
-    """A stand-in engine on a port of its own."""
+    """A stand-in engine on its own port."""
 
     def __init__(self, *, step=0.002, slots=16):
         self.engine = batching.Engine(
@@ -240,7 +240,7 @@
 
 
 class Plain:
-    """A stand-in plain service on a port of its own."""
+    """A stand-in plain service on its own port."""
 
     def __init__(self):
         self.service = plain.PlainService()
@@ -265,30 +265,31 @@
 
 
 def find_free_address():
-    """Return an address where nothing listens."""
+    """Return an address on which no server listens."""
     with socket.socket() as sock:
         sock.bind(('127.0.0.1', 0))
         return f'127.0.0.1:{sock.getsockname()[1]}'
 
 
 def wait_until(condition, seconds=_TIMEOUT):
-    """Wait for a condition; an AssertionError if it never holds."""
-    with gevent.Timeout(seconds, AssertionError('never came true')):
+    """Wait for a condition; raise AssertionError after `seconds`."""
+    with gevent.Timeout(seconds, AssertionError('the condition never held')):
         while not condition():
             gevent.sleep(0.005)
 
 
-class Plan:
-    """How a scripted engine sends its answers, as byte positions.
+class StreamPlan:
+    """Positions at which an engine splits and cuts the body of its answer.
 
     Parameters
     ----------
     cut : int or None
-        Bytes of the body after which the connection ends.
+        Bytes of the body after which the stream is cut; None for no cut.
     sizes : sequence of int
-        Lengths of the pieces that the body is sent in, in turn.
+        Lengths of the chunks in which the body is sent, used cyclically.
     end : str
-        How it ends there: `close`, `reset`, or `hang` for not at all.
+        How the connection ends at the cut: `close`, `reset`, or `hang` to
+        keep it open without sending more.
     """
 
     def __init__(self, cut=None, sizes=(), *, end='close'):
@@ -297,31 +298,36 @@
         self.end = end
 
     def __repr__(self):
-        return f'Plan({self.cut}, {self.sizes}, end={self.end!r})'
+        return f'StreamPlan({self.cut}, {self.sizes}, end={self.end!r})'
 
-    def slice(self, body):
-        """Yield the pieces."""
+    def split_body(self, body):
+        """Yield the body's chunks up to the cut."""
         body = body if self.cut is None else body[: self.cut]
-        at, turn = 0, 0
-        while at < len(body):
-            size = self.sizes[turn % len(self.sizes)] if self.sizes else 4096
-            yield body[at : at + size]
-            at, turn = at + size, turn + 1
-
-
-class SlicedEngine(Script):
-    """An engine whose streams are sliced and cut anywhere.
-
-    `plan(text)` returns the Plan for the prompt's text. It resumes as the
-    stand-in engine does, and counts the prompts that it got.
+        position, chunk_number = 0, 0
+        while position < len(body):
+            size = (
+                self.sizes[chunk_number % len(self.sizes)]
+                if self.sizes
+                else 4096
+            )
+            yield body[position : position + size]
+            position, chunk_number = position + size, chunk_number + 1
+
+
+class ChunkedEngine(Script):
+    """An engine whose streams are split and cut at given positions.
+
+    `plan(text)` returns the StreamPlan for the prompt's text. The engine
+    resumes streams like the stand-in engine, and keeps the request bodies
+    that it got.
     """
 
     def __init__(self, plan):
         super().__init__(self._answer)
         self._plan = plan
         self.bodies = []
-        # Of six digits always, so that positions in a body are known.
-        self.mark = 100000 + self._server.server_port
+        # Always six digits, so that positions in a body are predictable.
+        self.id_number = 100000 + self._server.server_port
 
     def _answer(self, script, sock):
         while request := self.read(sock):
@@ -330,8 +336,8 @@
             prompt = generation.read_chat(values)
             plan = self._plan(prompt.text)
             sock.sendall(STREAM_HEAD)
-            body = write_events(prompt, self.mark)
-            for piece in plan.slice(body):
+            body = write_events(prompt, self.id_number)
+            for piece in plan.split_body(body):
                 sock.sendall(write_chunk(piece))
                 gevent.sleep(0)
             if plan.cut is not None and plan.cut < len(body):
@@ -346,9 +352,9 @@
         sock.close()
 
 
-def write_events(prompt, mark, *, done=True):
-    """Return a stream's events, written as vLLM does."""
-    base = {'id': f'chatcmpl-{mark}', 'created': mark % 1000}
+def write_events(prompt, id_number, *, done=True):
+    """Return the events of a stream in vLLM's format."""
+    base = {'id': f'chatcmpl-{id_number}', 'created': id_number % 1000}
     start = prompt.delivered
     events = []
     for index in range(start - 1, prompt.length):
--- a/tests/support/sides.py
+++ b/tests/support/sides.py
@@ -1,31 +1,31 @@
-"""Starts an entry with its servers for one scenario, and closes them."""
+"""Starts and closes an HTTP entry and its servers for one scenario."""
 
 from tests.support import callers
 from tests.support import exchanges
 
 
 def start(context, *, engines=(), plain=(), deadline=30.0, **sections):
-    """Start `context.side` before servers at some addresses."""
-    held = callers.build_document(engines, plain, deadline=deadline)
-    context.side = callers.Side(held, **sections)
+    """Start `context.side` in front of servers at the given addresses."""
+    configuration = callers.build_document(engines, plain, deadline=deadline)
+    context.side = callers.Side(configuration, **sections)
     context.add_cleanup(context.side.close)
     return context.side
 
 
 def add(context, server):
-    """Close a server with the scenario; return it."""
+    """Close a server at the end of the scenario; return the server."""
     context.add_cleanup(server.close)
     return server
 
 
-def add_script(context, follow):
-    """Start a server that follows a script."""
-    return add(context, exchanges.Script(follow))
+def add_script(context, respond):
+    """Start a server whose connections are handled by `respond`."""
+    return add(context, exchanges.Script(respond))
 
 
-def serve_plain(context, follow):
-    """Let a script be the plain service's only server."""
-    script = add_script(context, follow)
+def serve_plain(context, respond):
+    """Start a scripted server as the plain service's only server."""
+    script = add_script(context, respond)
     context.side.holder.document = callers.build_document(
         plain=[script.address]
     )
@@ -33,11 +33,11 @@
 
 
 def connect(context):
-    """Open a caller's connection, closed with the scenario."""
+    """Open a caller's connection; closed at the end of the scenario."""
     return add(context, exchanges.Caller(context.side.address))
 
 
-# Small enough that a test passes the limits without much ado.
+# Small enough for a test to exceed the limits with little data and time.
 BODY_BYTES = 2048
 _LIMITS = {
     'body_bytes': BODY_BYTES,
@@ -48,7 +48,7 @@
 
 
 def start_served(context, **limits):
-    """Start an entry before a stand-in engine and a booking service."""
+    """Start an entry in front of a stand-in engine and a booking service."""
     context.engine = add(context, exchanges.Engine())
     context.plain = add(context, exchanges.Plain())
     context.received = []
@@ -61,7 +61,7 @@
 
 
 def ask_chat(context, values, **headers):
-    """Ask for a chat on a connection of its own; keep what came."""
+    """Request a chat on a new connection; store and return the answer."""
     received = exchanges.ask(
         context.side, 'POST', '/v1/chat/completions', values, **headers
     )
