--- a/src/amaranthslip/backends/loads.py
+++ b/src/amaranthslip/backends/loads.py
@@ -1,4 +1,4 @@
-"""Load reports: reads the engines' metrics in the Prometheus text format."""
+"""Load reports from the engines' metrics in the Prometheus text format."""
 
 import logging
 import random as random_
@@ -18,33 +18,42 @@
 
 _log = logging.getLogger(__name__)
 
-# vLLM's names, which other engines have taken over.
+# Metric names of vLLM, which other engines have adopted.
 _RUNNING = 'vllm:num_requests_running'
 _WAITING = 'vllm:num_requests_waiting'
 _CACHE = 'vllm:gpu_cache_usage_perc'
 _NAMES = frozenset((_RUNNING, _WAITING, _CACHE))
-_REPORT_BYTES = 1048576
-# Each wait is drawn between these fractions of the interval, so that many
-# instances don't ask one engine together.
-_LEAST_FRACTION = 0.75
-_MOST_FRACTION = 1.25
-# How often servers that came or went are looked for, in seconds.
-_FOLLOW_SECONDS = 0.2
+_MAX_REPORT_BYTES = 1048576
+# Each wait is drawn at random between these multiples of the interval, so that
+# many instances don't poll one engine at the same time.
+_MIN_INTERVAL_FACTOR = 0.75
+_MAX_INTERVAL_FACTOR = 1.25
+# Interval between checks for added and removed servers, in seconds.
+_SERVER_CHECK_SECONDS = 0.2
 
 
 def read_report(
     text: str, server_name: str, at: float
 ) -> loads.LoadReport | None:
-    """Return the report in an engine's metrics, or None without one.
+    """Parse an engine's metrics; return None if they hold no load report.
 
-    Samples of one name, such as of several models in one engine, are added
-    up; of the cache the fullest counts.
+    Request counts with the same name, such as those of several models in one
+    engine, are added up; for the cache usage, the highest value is used.
+
+    Parameters
+    ----------
+    text : str
+        Metrics in the Prometheus text format.
+    server_name : str
+        Name of the backend server.
+    at : float
+        Time at which the metrics were read, in `time.monotonic()` seconds.
     """
-    # Only the lines that are needed: an engine has thousands.
+    # Parse only the required lines: an engine exports thousands.
     lines = [line for line in text.splitlines() if line.startswith('vllm:')]
-    wanted = [line for line in lines if _read_name(line) in _NAMES]
+    required = [line for line in lines if _parse_name(line) in _NAMES]
     values: dict[str, list[float]] = {name: [] for name in _NAMES}
-    for family in parser.text_string_to_metric_families('\n'.join(wanted)):
+    for family in parser.text_string_to_metric_families('\n'.join(required)):
         for sample in family.samples:
             values[sample.name].append(sample.value)
     if not values[_RUNNING]:
@@ -58,23 +67,23 @@
     )
 
 
-def _read_name(line: str) -> str:
+def _parse_name(line: str) -> str:
     return line.partition('{')[0].partition(' ')[0]
 
 
 class LoadPoller:
-    """Asks every backend server that this instance owns for its load.
+    """Polls the load of every backend server that this instance owns.
 
     Parameters
     ----------
     settings : Settings
-        `backends.load_interval_seconds`.
+        Uses `backends.load_interval_seconds`, the mean poll interval.
     servers : callable
-        Returns the BackendServer objects owned now.
+        Returns the BackendServer objects that this instance owns.
     receive : callable
-        Takes each LoadReport, in the greenlet of its server.
+        Called with each LoadReport, in the greenlet that polls the server.
     random : random.Random
-        Jitter of the waits.
+        Source of the jitter of the waits.
     """
 
     __slots__ = (
@@ -83,8 +92,8 @@
         '_receive',
         '_random',
         '_connections',
-        '_greenlets',
-        '_follower',
+        '_pollers',
+        '_updater',
     )
 
     def __init__(
@@ -100,51 +109,60 @@
         self._receive = receive
         self._random = random or random_.Random()
         self._connections = connections_.Connections(settings)
-        # By name and address: a server that moved is asked anew.
-        self._greenlets: dict[tuple[str, str], gevent.Greenlet] = {}
-        self._follower: gevent.Greenlet | None = None
+        # Keyed by name and address, so that a server whose address changes
+        # gets a new poller.
+        self._pollers: dict[tuple[str, str], gevent.Greenlet] = {}
+        self._updater: gevent.Greenlet | None = None
 
     def start(self) -> None:
-        """Start asking."""
-        self._follower = gevent.spawn(self._follow)
+        """Start polling."""
+        self._updater = gevent.spawn(self._update_pollers)
 
     def close(self) -> None:
-        """Stop asking."""
-        if self._follower is not None:
-            self._follower.kill()
-        gevent.killall(list(self._greenlets.values()))
-        self._greenlets.clear()
+        """Stop polling and close the connections."""
+        if self._updater is not None:
+            self._updater.kill()
+        gevent.killall(list(self._pollers.values()))
+        self._pollers.clear()
         self._connections.close()
 
-    def _follow(self) -> None:
+    def _update_pollers(self) -> None:
         while True:
             owned = {
-                (each.name, each.address): each for each in self._servers()
+                (server.name, server.address): server
+                for server in self._servers()
             }
-            for key in self._greenlets.keys() - owned.keys():
-                self._greenlets.pop(key).kill(block=False)
-            for key in owned.keys() - self._greenlets.keys():
-                self._greenlets[key] = gevent.spawn(self._ask, owned[key])
+            for key in self._pollers.keys() - owned.keys():
+                self._pollers.pop(key).kill(block=False)
+            for key in owned.keys() - self._pollers.keys():
+                self._pollers[key] = gevent.spawn(self._poll, owned[key])
             self._connections.keep_only([address for _, address in owned])
-            gevent.sleep(_FOLLOW_SECONDS)
+            gevent.sleep(_SERVER_CHECK_SECONDS)
 
-    def _ask(self, server: document.BackendServer) -> None:
+    def _poll(self, server: document.BackendServer) -> None:
         interval = self._settings.backends.load_interval_seconds
         while True:
             try:
-                report = self._read(server)
+                report = self._fetch_report(server)
                 if report is not None:
                     self._receive(report)
             except (errors.AmaranthslipError, ValueError) as error:
-                # A load that can't be read changes nothing: how requests
-                # end, not this, says whether the server is healthy.
-                _log.debug('no load of %s: %s', server.name, error)
+                # A failed read has no consequence: the health of a server
+                # is determined by the outcomes of requests, not by load
+                # reports.
+                _log.debug(
+                    'cannot read the load of %s: %s', server.name, error
+                )
             gevent.sleep(
                 interval
-                * self._random.uniform(_LEAST_FRACTION, _MOST_FRACTION)
+                * self._random.uniform(
+                    _MIN_INTERVAL_FACTOR, _MAX_INTERVAL_FACTOR
+                )
             )
 
-    def _read(self, server: document.BackendServer) -> loads.LoadReport | None:
+    def _fetch_report(
+        self, server: document.BackendServer
+    ) -> loads.LoadReport | None:
         request = outgoing.Outgoing(
             method='GET',
             target='/metrics',
@@ -154,7 +172,7 @@
             request_id=uuid.uuid4().hex,
         )
         with self._connections.send(server, request) as answer:
-            body = answer.read_whole(_REPORT_BYTES)
+            body = answer.read_whole(_MAX_REPORT_BYTES)
         if answer.status != 200:
             return None
         return read_report(
--- a/src/amaranthslip/backends/outgoing.py
+++ b/src/amaranthslip/backends/outgoing.py
@@ -1,4 +1,4 @@
-"""The request that is sent to a backend server, and its bytes."""
+"""Requests to backend servers and their HTTP/1.1 encoding."""
 
 import enum
 import re
@@ -6,52 +6,56 @@
 
 from amaranthslip import errors
 
-# RFC 9110: a method and a field name are tokens (5.1, 9.1); a field value
-# holds no control character (5.5); a request target holds no white space.
+# RFC 9110: a method and a field name are tokens (9.1, 5.1); a field value
+# contains no control character (5.5); a request target contains no white
+# space.
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_VALUE = re.compile(r'[\t\x20-\x7e\x80-\xff]*')
-_TARGET = re.compile(r'/[^\x00-\x20\x7f]*')
+_FIELD_VALUE = re.compile(r'[\t\x20-\x7e\x80-\xff]*')
+_REQUEST_TARGET = re.compile(r'/[^\x00-\x20\x7f]*')
 
 Headers = typing.Sequence[tuple[str, str]]
 
 
 class Reuse(enum.Enum):
-    """On which connections a request may go out."""
+    """The connections on which a request may be sent."""
 
-    # A new one: its effect must be known, so a failure to connect must be
-    # told from one that comes later.
+    # Only a new connection. The outcome of the request must be known, so a
+    # failure to connect must be distinguishable from a later failure.
     NEVER = 'never'
-    # One that was used a moment ago, or a new one: it is not sent again.
+    # A pooled connection that was used very recently, or a new one. The
+    # request is not resent if the connection breaks.
     SURE = 'sure'
-    # Any that was kept: if that breaks, it is sent again on a new one.
+    # Any pooled connection, or a new one. If a pooled connection breaks, the
+    # request may be resent on a new one.
     ANY = 'any'
 
 
 class Outgoing:
-    """One request as a backend server gets it.
+    """One request in the form in which a backend server receives it.
 
     Parameters
     ----------
     method, target : str
-        Of the request line; the target is in origin form.
+        Parts of the request line; the target is in origin form.
     headers : sequence of (str, str)
         Without Host, Content-Length and the hop-by-hop fields.
     body : bytes
         The whole body.
     reuse : Reuse
-        Whether it may go out on a connection that was used before.
+        Whether the request may be sent on a pooled connection.
     request_id : str
-        Sent as `id_header`; an answer that echoes another is not ours.
+        Sent as `id_header`; a response that echoes another id belongs to
+        another request.
     id_header : str
-        The header of the request's id.
+        Name of the header that carries the request id.
     host : str
-        The `Host` to send; the server's address by default.
+        Value of the `Host` header; the server's address by default.
     unframed_ends : bool
-        Whether an answer without a length, whose connection is closed in
-        order, is whole.
+        Whether a response without a length is complete when the server closes
+        the connection without a reset.
     may_resend : callable, optional
-        Asked before a request goes out once more because the kept connection
-        broke under it: its server may have run it.
+        Called before a request is resent because its pooled connection broke;
+        returns whether to resend it. The server may already have run it.
     check_server : callable, optional
         Called on an open connection, before the request is sent. Raises
         BackendFailed if the server must not receive new requests.
@@ -99,37 +103,38 @@
         self.check_server = check_server
 
     def encode(self, address: str) -> bytes:
-        """Return the bytes for the server at `address`.
+        """Encode the request for the server at `address`.
 
         Raises
         ------
         RequestRefused
-            A header or the target can't be sent as it is: were a line break
-            let through, one caller could write a second request into the
-            connection, and the next caller would get its answer.
+            The method, the target, the host, the request id or a header
+            contains a forbidden character. With a line break, a caller could
+            inject a second request into the connection, and the next caller
+            would get its response.
         """
         host = self.host or address
         lines = [f'{self.method} {self.target} HTTP/1.1', f'Host: {host}']
-        _check(_VALUE, host, 'the host')
-        _check(_TOKEN, self.method, 'the method')
-        _check(_TARGET, self.target, 'the request target')
+        _validate(_FIELD_VALUE, host, 'the host')
+        _validate(_TOKEN, self.method, 'the method')
+        _validate(_REQUEST_TARGET, self.target, 'the request target')
         for name, value in self.headers:
-            _check(_TOKEN, name, 'a header name')
-            _check(_VALUE, value, f'the header {name!r}')
+            _validate(_TOKEN, name, 'a header name')
+            _validate(_FIELD_VALUE, value, f'the header {name!r}')
             lines.append(f'{name}: {value}')
-        _check(_VALUE, self.request_id, 'the id')
+        _validate(_FIELD_VALUE, self.request_id, 'the request id')
         lines.append(f'{self.id_header}: {self.request_id}')
         if self.body or self.method in ('POST', 'PUT', 'PATCH'):
             lines.append(f'Content-Length: {len(self.body)}')
-        head = '\r\n'.join(lines) + '\r\n\r\n'
-        return head.encode('latin-1') + self.body
+        header_block = '\r\n'.join(lines) + '\r\n\r\n'
+        return header_block.encode('latin-1') + self.body
 
 
-def _check(pattern: re.Pattern[str], text: str, what: str) -> None:
+def _validate(pattern: re.Pattern[str], text: str, subject: str) -> None:
     if not pattern.fullmatch(text):
         raise errors.RequestRefused(
             'malformed',
-            f'{what} holds characters that HTTP does not allow;'
+            f'{subject} contains characters that HTTP does not allow;'
             ' send it without control characters or line breaks',
             status=400,
         )
