--- a/src/amaranthslip/backends/__init__.py
+++ b/src/amaranthslip/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Backends: HTTP to backend servers, pooled, and their load reports."""
+"""Pooled HTTP connections to backend servers, and their load reports."""
--- a/src/amaranthslip/backends/answers.py
+++ b/src/amaranthslip/backends/answers.py
@@ -1,4 +1,4 @@
-"""Answers of backend servers, read as they arrive."""
+"""HTTP responses of backend servers, read incrementally."""
 
 import time
 import typing
@@ -13,39 +13,39 @@
 from amaranthslip import errors
 from amaranthslip.links import sockets
 
-# Bytes a single receive may return; a chunk of a stream is far smaller.
+# Maximum bytes per recv() call; a chunk of a stream is far smaller.
 _RECEIVE_BYTES = 65536
 
 
 class _Parser(response.HTTPResponse):
-    """The library's parser, which keeps the body's pieces as they come."""
+    """The library's parser, extended to collect body chunks on arrival."""
 
     def __init__(self, request: outgoing.Outgoing) -> None:
         super().__init__(method=request.method)
-        self.pieces: list[bytes] = []
-        # Whether the message under way answers an earlier request.
+        self.body_chunks: list[bytes] = []
+        # Whether the message being parsed is a response to an earlier request.
         self.stale = False
         self._id_header = request.id_header.lower()
         self._request_id = request.request_id
 
     @property
-    def ready(self) -> bool:
-        """Whether the headers of the final answer are there."""
+    def headers_ready(self) -> bool:
+        """Whether the headers of the final response are complete."""
         return (
             self.headers_complete and not self.stale and self.get_code() >= 200
         )
 
     @property
-    def framed(self) -> bool:
-        """Whether the answer says where it ends."""
+    def is_delimited(self) -> bool:
+        """Whether the response headers delimit the body."""
         return 'content-length' in self or 'transfer-encoding' in self
 
     def _on_headers_complete(self) -> int | bool | None:
         result = super()._on_headers_complete()
-        # A server that answered a request twice leaves the second answer
-        # on the connection, where it would be taken for the next request's.
-        # It shows by the id of the request that it answers, and is passed
-        # over; the right answer comes after it.
+        # A server that responds to a request twice leaves the second response
+        # on the connection, where it would be mistaken for the response to
+        # the next request. Such a response echoes another request id and is
+        # skipped; the response to the current request follows.
         echoed = self.get(self._id_header)
         self.stale = (
             self.get_code() >= 200
@@ -56,24 +56,27 @@
 
     def _on_body(self, buf: bytearray) -> None:
         if not self.stale:
-            self.pieces.append(bytes(buf))
+            self.body_chunks.append(bytes(buf))
 
     def _on_message_begin(self) -> None:
-        # A server that answers twice would have its second answer's body
-        # added to the first's. Only a 1xx answer, or one of an earlier
-        # request, may be followed by another.
+        # If a server responds twice, the body of its second response would be
+        # appended to the first. Only a 1xx response, or a response to an
+        # earlier request, may be followed by another response.
         if self.message_complete and not self.stale and self.get_code() >= 200:
-            raise response.HTTPProtocolViolationError('a second answer')
+            raise response.HTTPProtocolViolationError(
+                'unexpected second response'
+            )
         super()._on_message_begin()
         self.stale = False
 
 
 class Answer:
-    """One backend server's answer to one request.
+    """The response of one backend server to one request.
 
-    It owns the connection: after the last byte the connection goes back to
-    the pool, in every other case it is closed, which cancels the work at an
-    engine. `status` and `headers` are there from the start.
+    The object owns the connection. After the last byte of the body the
+    connection is returned to the pool; in every other case it is closed, which
+    cancels the work at an engine. `status` and `headers` are set by
+    `read_headers`, before the caller of `Connections.send` gets the object.
     """
 
     __slots__ = (
@@ -83,10 +86,10 @@
         '_parser',
         '_socket',
         '_pool',
-        '_reuse',
+        '_reusable',
         '_unframed_ends',
-        '_at_end_of_connection',
-        '_idle',
+        '_connection_ended',
+        '_idle_watch',
     )
 
     def __init__(
@@ -101,43 +104,45 @@
         self._parser = _Parser(request)
         self._socket: socket.socket | None = sock
         self._pool = pool
-        # Unless bytes that belong to no answer came after it.
-        self._reuse = True
+        # Cleared when bytes that belong to no response follow the response.
+        self._reusable = True
         self._unframed_ends = request.unframed_ends
-        self._at_end_of_connection = False
-        self._idle: idling.IdleWatch | None = None
+        self._connection_ended = False
+        self._idle_watch: idling.IdleWatch | None = None
 
     def send(self, data: bytes) -> None:
-        """Send the request's bytes.
+        """Send the encoded request.
 
-        A server may answer and close before it has read a long body, such
-        as with 413: the send then fails, and the answer is still there to
-        be read, so that failure is left to `read_headers`.
+        A server may respond and close the connection before it has read a
+        long body, for example with 413. The send then fails although a
+        response can still be read, so connection errors other than a timeout
+        are ignored here and detected by `read_headers`.
 
         Raises
         ------
         BackendFailed
-            The server took nothing for too long.
+            The server read nothing until the send timed out.
         """
         try:
             self._socket.sendall(data)
         except socket.timeout:
-            raise self._fail(
-                'send_timeout', 'took nothing for too long', status=504
+            raise self._close_with_failure(
+                'send_timeout', 'did not read the request in time', status=504
             ) from None
         except OSError:
             return
 
     def read_headers(self) -> None:
-        """Wait for the headers of the final answer.
+        """Wait for the headers of the final response.
 
         Raises
         ------
         BackendFailed
-            None came in time or the connection ended.
+            No headers arrived in time, the connection ended, or the response
+            is malformed.
         """
         parser = self._parser
-        while not parser.ready:
+        while not parser.headers_ready:
             self._receive()
         self.status = parser.get_code()
         self.headers = list(parser.items())
@@ -145,94 +150,97 @@
 
     @property
     def idle_seconds(self) -> float | None:
-        """After how long the server closes an idle connection, if it says."""
+        """The server's timeout for idle connections in seconds, or None."""
         return pools.read_idle_seconds(self._parser.get('keep-alive') or '')
 
     @property
-    def begun(self) -> bool:
-        """Whether any byte of an answer has arrived."""
+    def response_started(self) -> bool:
+        """Whether any byte of the response has arrived."""
         return self._parser.message_begun and not self._parser.stale
 
     def set_timeout(self, seconds: float) -> None:
-        """Let each further wait for bytes last so long, in seconds."""
+        """Set the timeout of each subsequent send and receive, in seconds."""
         if self._socket is not None:
             self._socket.settimeout(seconds)
 
     def watch_idle(self, seconds: float) -> None:
-        """Let no further wait for bytes last longer, in seconds."""
-        self._stop_idle()
+        """Limit each subsequent wait for bytes, in seconds, with one timer."""
+        self._stop_idle_watch()
         if self._socket is not None:
             self._socket.settimeout(None)
-            self._idle = idling.IdleWatch(seconds)
+            self._idle_watch = idling.IdleWatch(seconds)
 
     @property
     def complete(self) -> bool:
-        """Whether the body's last byte is known to have arrived."""
-        return self._parser.message_complete and not self._at_end_of_connection
+        """Whether the last byte of the body is known to have arrived."""
+        return self._parser.message_complete and not self._connection_ended
 
     def read(self) -> bytes:
-        """Return the body bytes that arrive next, b'' after the last.
+        """Return the next bytes of the body, or b'' at its end.
 
         Raises
         ------
         BackendFailed
-            The connection ended or fell silent before the last byte. An
-            answer that ends with its connection, without a length or a last
-            chunk, counts as cut, as it can't be told from a whole one, but
-            for a request with `unframed_ends`.
+            The connection ended or timed out before the last byte. A response
+            without a length or a last chunk, which ends when the connection
+            is closed, counts as cut, because it can't be distinguished from
+            a truncated one, except for a request with `unframed_ends`.
         """
         parser = self._parser
-        while not parser.pieces:
+        while not parser.body_chunks:
             if parser.message_complete:
                 self._release()
                 return b''
-            if self._at_end_of_connection:
+            if self._connection_ended:
                 self.close()
                 return b''
             self._receive()
-        pieces = parser.pieces
-        data = pieces[0] if len(pieces) == 1 else b''.join(pieces)
-        pieces.clear()
+        body_chunks = parser.body_chunks
+        data = (
+            body_chunks[0] if len(body_chunks) == 1 else b''.join(body_chunks)
+        )
+        body_chunks.clear()
         return data
 
-    def read_whole(self, most_bytes: int) -> bytes:
-        """Return the whole body.
+    def read_whole(self, max_bytes: int) -> bytes:
+        """Read and return the whole body.
 
         Raises
         ------
         BackendFailed
-            It was cut, or is longer than `most_bytes`.
+            The body was cut, or is longer than `max_bytes`.
         """
-        pieces, length = [], 0
-        while piece := self.read():
-            pieces.append(piece)
-            length += len(piece)
-            if length > most_bytes:
-                raise self._fail(
+        body_chunks, length = [], 0
+        while chunk := self.read():
+            body_chunks.append(chunk)
+            length += len(chunk)
+            if length > max_bytes:
+                raise self._close_with_failure(
                     'answer_too_large',
-                    f'sent an answer of more than {most_bytes} bytes; ask'
-                    ' for less, or raise limits.answer_bytes',
+                    f'sent a response of more than {max_bytes} bytes; request'
+                    ' less data, or raise limits.answer_bytes',
                 )
-        return b''.join(pieces)
+        return b''.join(body_chunks)
 
     def finish(self, seconds: float) -> None:
-        """Read the end after the last useful byte, for at most `seconds`.
+        """Read the rest of a response whose content is known to be complete.
 
-        Without it every stream would cost a connection: the last chunk
-        often comes in a packet of its own.
+        Closes the connection if the end has not arrived after `seconds`.
+        Without this read, the connection of most streams would have to be
+        closed, because the last chunk often arrives in a separate packet.
         """
-        until = time.monotonic() + seconds
+        deadline = time.monotonic() + seconds
         try:
             while not self._parser.message_complete:
-                self.set_timeout(max(until - time.monotonic(), 0.001))
+                self.set_timeout(max(deadline - time.monotonic(), 0.001))
                 self._receive()
             self._release()
         except errors.BackendFailed:
             self.close()
 
     def close(self) -> None:
-        """Close the connection, if the answer still holds it."""
-        self._stop_idle()
+        """Close the connection, unless it was returned to the pool."""
+        self._stop_idle_watch()
         if self._socket is not None:
             sock, self._socket = self._socket, None
             self._pool.release_socket(sock)
@@ -244,56 +252,64 @@
         self.close()
 
     def _receive(self) -> None:
-        idle = self._idle
+        idle_watch = self._idle_watch
         try:
-            if idle is None:
+            if idle_watch is None:
                 data = self._socket.recv(_RECEIVE_BYTES)
             else:
-                idle.waiting = True
+                idle_watch.waiting = True
                 data = self._socket.recv(_RECEIVE_BYTES)
-                idle.waiting = False
-                idle.note()
-        except (socket.timeout, idling.Idle):
+                idle_watch.waiting = False
+                idle_watch.record_activity()
+        except (socket.timeout, idling.IdleTimeout):
             reason = 'idle' if self.status else 'first_byte_timeout'
-            raise self._fail(
-                reason, 'sent nothing for too long', status=504
+            raise self._close_with_failure(
+                reason, 'sent no data within the timeout', status=504
             ) from None
         except OSError as error:
-            raise self._fail('reset', f'broke off: {error}') from None
+            raise self._close_with_failure(
+                'reset', f'broke the connection: {error}'
+            ) from None
         if not data:
-            self._at_end_of_connection = True
-            if self._unframed_ends and self.status and not self._parser.framed:
+            self._connection_ended = True
+            if (
+                self._unframed_ends
+                and self.status
+                and not self._parser.is_delimited
+            ):
                 return
-            raise self._fail('cut', 'closed the connection too early')
+            raise self._close_with_failure(
+                'cut', 'closed the connection too early'
+            )
         try:
             self._parser.feed(data)
         except response.HTTPParseError as error:
-            # A whole answer with bytes after it is still that answer; the
-            # parser then asks for the connection to be closed.
+            # A complete response is valid even if more bytes follow it, but
+            # its connection must not be reused.
             if not self._parser.message_complete:
-                raise self._fail(
-                    'malformed_answer', f'sent no valid HTTP: {error}'
+                raise self._close_with_failure(
+                    'malformed_answer', f'sent invalid HTTP: {error}'
                 ) from None
-            self._reuse = False
+            self._reusable = False
 
     def _release(self) -> None:
         if self._socket is None:
             return
-        if not self._reuse or self._parser.should_close():
+        if not self._reusable or self._parser.should_close():
             self.close()
             return
-        self._stop_idle()
+        self._stop_idle_watch()
         sock, self._socket = self._socket, None
         sock.settimeout(None)
-        sockets.probe_while_used(sock, False)
+        sockets.set_keepalive(sock, False)
         self._pool.return_socket(sock)
 
-    def _stop_idle(self) -> None:
-        if self._idle is not None:
-            self._idle.close()
-            self._idle = None
+    def _stop_idle_watch(self) -> None:
+        if self._idle_watch is not None:
+            self._idle_watch.close()
+            self._idle_watch = None
 
-    def _fail(
+    def _close_with_failure(
         self, reason: str, text: str, *, status: int = 502
     ) -> errors.BackendFailed:
         self.close()
--- a/src/amaranthslip/backends/connections.py
+++ b/src/amaranthslip/backends/connections.py
@@ -1,9 +1,9 @@
-"""Requests and answers on pooled HTTP/1.1 connections to backend servers.
+"""HTTP/1.1 requests to backend servers on pooled connections.
 
-The pool and the parser are geventhttpclient's. Its `HTTPClient.request` is
-not used: it repeats GET, PUT and DELETE by itself when a connection breaks,
-which no option turns off, and whether a request may be repeated is decided
-by its kind here, not by its method.
+The pool and the parser come from geventhttpclient. Its `HTTPClient.request`
+is not used: on a broken connection it resends GET, PUT and DELETE requests
+automatically, and no option disables that. Here, the kind of a request decides
+whether it may be resent, not its method.
 """
 
 import errno
@@ -22,16 +22,17 @@
 
 
 class Connections:
-    """Sends requests to backend servers and hands out their answers.
-
-    A server may close a kept connection in the moment a request leaves on
-    it. That shows as a reset or an end before the first byte of the answer,
-    exactly as a server that ran the request and died, so nobody can tell
-    whether it ran. Therefore a request whose effect must be known goes out on
-    a connection of its own, and only a failure to connect is called 'not
-    sent'. A stream that may be sent once is lost by such a closing but does
-    no harm twice: it takes a connection that its server has no reason yet to
-    close.
+    """Sends requests to backend servers and returns their responses.
+
+    A server may close a pooled connection at the moment a request is sent on
+    it. The result is a reset or an end of stream before the first byte of the
+    response, exactly as when the server executed the request and crashed, so
+    whether the request ran is unknown. Therefore a request whose outcome must
+    be known is sent on a new connection, and only a failure to connect is
+    reported as not sent. A streaming request that is sent at most once fails
+    if its connection is closed in this way, but is never executed twice. Such
+    a request only uses a pooled connection that was idle so briefly that its
+    server has no reason to close it yet.
     """
 
     __slots__ = ('_settings', '_clock', '_pools')
@@ -53,32 +54,35 @@
         *,
         first_byte_seconds: float | None = None,
     ) -> answers.Answer:
-        """Send a request and wait for the headers of its answer.
+        """Send a request and wait for the headers of the response.
 
         Parameters
         ----------
         first_byte_seconds : float or None
-            How long to wait; `backends.first_byte_seconds` by default.
+            Timeout of the send and of each wait for bytes until the headers
+            are complete; `backends.first_byte_seconds` by default.
 
         Raises
         ------
         BackendFailed
-            `sent` is False only where no connection was made.
+            `sent` is False only if no connection was established or
+            `request.check_server` raised the error. After a resend, `sent`
+            describes the second attempt only.
         """
         data = request.encode(server.address)
-        pool = self._find_pool(server.address)
+        pool = self._get_pool(server.address)
         seconds = first_byte_seconds
         if seconds is None:
             seconds = self._settings.backends.first_byte_seconds
         sock = None
         if request.reuse is not outgoing.Reuse.NEVER:
-            sock = pool.take(sure=request.reuse is outgoing.Reuse.SURE)
+            sock = pool.take(recent_only=request.reuse is outgoing.Reuse.SURE)
         if sock is None:
-            return self._send_fresh(pool, data, request, seconds)
-        return self._send_kept(pool, sock, data, request, seconds)
+            return self._send_on_new(pool, data, request, seconds)
+        return self._send_on_pooled(pool, sock, data, request, seconds)
 
     def is_listening(self, address: str) -> bool:
-        """Return whether a process listens at a server's address.
+        """Return whether a process listens on a server's address.
 
         Returns
         -------
@@ -86,7 +90,7 @@
             False only if the connection is refused: the host is reachable,
             and no process listens on the port.
         """
-        pool = self._find_pool(address)
+        pool = self._get_pool(address)
         try:
             pool.return_socket(pool.connect())
         except ConnectionRefusedError:
@@ -97,22 +101,22 @@
         return True
 
     def keep_only(self, addresses: typing.Collection[str]) -> None:
-        """Forget the idle connections to every other address."""
+        """Close the idle connections to all other addresses."""
         for address in self._pools.keys() - set(addresses):
             self._pools.pop(address).close()
 
     def close(self) -> None:
-        """Close the idle connections; answers being read keep theirs."""
+        """Close the idle connections; responses in progress keep theirs."""
         self.keep_only(())
 
-    def _find_pool(self, address: str) -> pools.ServerPool:
+    def _get_pool(self, address: str) -> pools.ServerPool:
         pool = self._pools.get(address)
         if pool is None:
             pool = pools.ServerPool(address, self._settings, clock=self._clock)
             self._pools[address] = pool
         return pool
 
-    def _send_kept(
+    def _send_on_pooled(
         self,
         pool: pools.ServerPool,
         sock: socket.socket,
@@ -120,25 +124,25 @@
         request: outgoing.Outgoing,
         seconds: float,
     ) -> answers.Answer:
-        sockets.probe_while_used(sock, True)
+        sockets.set_keepalive(sock, True)
         answer = answers.Answer(sock, pool, request)
         try:
             return self._exchange(pool, answer, request, data, seconds)
         except errors.BackendFailed as failure:
-            # Mostly the server had closed the connection before the request
-            # came. One that is idempotent may go out again at once, on a
-            # connection of its own. It may have run all the same: a server
-            # that dies in the midst of it looks no different.
+            # Usually the server closed the connection before it received the
+            # request. An idempotent request may be resent immediately on a
+            # new connection. The first attempt may still have run: a server
+            # that crashed during execution causes the same error.
             if failure.reason not in ('cut', 'reset'):
                 raise
-            pool.drop_idle()
+            pool.close_idle()
             if request.reuse is not outgoing.Reuse.ANY:
                 raise
-            if answer.begun or not request.may_resend():
+            if answer.response_started or not request.may_resend():
                 raise
-        return self._send_fresh(pool, data, request, seconds)
+        return self._send_on_new(pool, data, request, seconds)
 
-    def _send_fresh(
+    def _send_on_new(
         self,
         pool: pools.ServerPool,
         data: bytes,
@@ -163,11 +167,11 @@
             answer.read_headers()
             idle_seconds = answer.idle_seconds
             if idle_seconds is not None:
-                pool.note_idle_seconds(idle_seconds)
+                pool.set_idle_seconds(idle_seconds)
             answer.watch_idle(self._settings.backends.idle_seconds)
         except BaseException:
-            # Also when the caller leaves or the deadline passes meanwhile:
-            # the closed connection cancels the work at the engine.
+            # This includes a caller that disconnects and a deadline that
+            # expires: closing the connection cancels the work at the engine.
             answer.close()
             raise
         return answer
@@ -179,10 +183,10 @@
             name = errno.errorcode.get(error.errno or 0, str(error))
             raise errors.BackendFailed(
                 'connect',
-                f'no connection to the backend server ({name}); it was not'
-                ' sent, so it is safe to send it again',
+                f'cannot connect to the backend server ({name}); the request'
+                ' was not sent, so it is safe to send it again',
                 sent=False,
                 status=503,
             ) from None
-        sockets.probe_while_used(sock, True)
+        sockets.set_keepalive(sock, True)
         return sock
--- a/src/amaranthslip/backends/pools.py
+++ b/src/amaranthslip/backends/pools.py
@@ -1,4 +1,4 @@
-"""Pools: the connections to one backend server, with how long each is idle."""
+"""Connection pool of one backend server, with the idle time of each socket."""
 
 import re
 import select
@@ -11,43 +11,49 @@
 from amaranthslip.links import sockets
 from amaranthslip import settings as settings_
 
-# Connections to one server at once. Slots bound the requests in progress
-# long before; this only keeps a mistake there from using up descriptors.
+# Maximum number of simultaneous connections to one server. The slots of a
+# server limit its requests in progress far below this; the bound only keeps a
+# fault in that limit from exhausting the file descriptors.
 _POOL_SIZE = 1024
-# Seconds after which a server is taken to close an idle connection, where it
-# does not say: the shortest default of widespread HTTP servers.
-_UNTOLD_IDLE_SECONDS = 5.0
-# The part of that time in which a connection may carry a request that can be
-# sent again, and one that can't: the server's timer began before this one's,
-# and a closing that crosses the request looks like a server that died with it.
-_KEPT_PART = 0.8
-_SURE_PART = 0.5
-_TIMEOUT = re.compile(r'\btimeout\s*=\s*(\d+)', re.ASCII | re.IGNORECASE)
+# Assumed idle timeout of a server that sends no Keep-Alive timeout: the
+# shortest default among widely used HTTP servers.
+_DEFAULT_IDLE_SECONDS = 5.0
+# Fraction of the server's idle timeout during which a pooled connection may be
+# used for a request that can be resent, and for one that can't. The fractions
+# are below 1 because the server's idle timer starts earlier than the one here,
+# and because a close that crosses the request is indistinguishable from a
+# server that crashed while it executed the request.
+_RESENDABLE_IDLE_FRACTION = 0.8
+_SEND_ONCE_IDLE_FRACTION = 0.5
+_KEEP_ALIVE_TIMEOUT = re.compile(
+    r'\btimeout\s*=\s*(\d+)', re.ASCII | re.IGNORECASE
+)
 
 
 def read_idle_seconds(keep_alive: str) -> float | None:
-    """Return the idle timeout that a `Keep-Alive` header tells, in seconds.
+    """Parse the idle timeout in a `Keep-Alive` header, in seconds.
 
     Returns
     -------
     float or None
-        None: it tells none (RFC 2068, 19.7.1.1, writes `timeout=5`).
+        None if the header has no timeout (RFC 2068, 19.7.1.1, writes
+        `timeout=5`).
     """
-    found = _TIMEOUT.search(keep_alive)
-    return float(found.group(1)) if found else None
+    match = _KEEP_ALIVE_TIMEOUT.search(keep_alive)
+    return float(match.group(1)) if match else None
 
 
 class ServerPool(connectionpool.ConnectionPool):
-    """The library's pool, whose connections are known by their idle time.
+    """The library's pool, extended to record when each socket became idle.
 
     Parameters
     ----------
     address : str
-        IP number and port.
+        IP address and port.
     settings : Settings
-        Uses `backends`.
+        Uses the `backends` section.
     clock : callable
-        Seconds that only grow.
+        Returns monotonic seconds.
     """
 
     def __init__(
@@ -66,30 +72,40 @@
             size=_POOL_SIZE,
             connection_timeout=settings.backends.connect_seconds,
         )
-        # Seconds without an acknowledgement after which the kernel ends a
+        # Seconds without an acknowledgement after which the kernel closes a
         # connection.
         self._lost_seconds = settings.backends.lost_seconds
         self._clock = clock
-        self._returned: dict[socket.socket, float] = {}
-        self._idle_seconds = _UNTOLD_IDLE_SECONDS
+        self._idle_since: dict[socket.socket, float] = {}
+        self._idle_seconds = _DEFAULT_IDLE_SECONDS
 
-    def take(self, *, sure: bool) -> socket.socket | None:
-        """Return a kept connection, the one used last; None: none is fit.
+    def take(self, *, recent_only: bool) -> socket.socket | None:
+        """Take the most recently used connection that is usable, if any.
 
         Parameters
         ----------
-        sure : bool
-            For a request that must not meet a server's closing.
+        recent_only : bool
+            Use the shorter limit on idle time, for a request that is not
+            resent if the server closes the connection.
+
+        Returns
+        -------
+        socket or None
+            None if no pooled connection is usable.
         """
-        part = _SURE_PART if sure else _KEPT_PART
-        since = self._clock() - part * self._idle_seconds
+        fraction = (
+            _SEND_ONCE_IDLE_FRACTION
+            if recent_only
+            else _RESENDABLE_IDLE_FRACTION
+        )
+        limit = self._clock() - fraction * self._idle_seconds
         while not self._socket_queue.empty():
             sock = self._socket_queue.get(block=False)
-            if self._returned[sock] >= since and self._is_socket_alive(sock):
-                del self._returned[sock]
+            if self._idle_since[sock] >= limit and self._is_socket_alive(sock):
+                del self._idle_since[sock]
                 self._semaphore.acquire()
                 return sock
-            self._drop(sock)
+            self._close_idle_socket(sock)
         return None
 
     def connect(self) -> socket.socket:
@@ -107,32 +123,33 @@
             self._semaphore.release()
             raise
 
-    def note_idle_seconds(self, seconds: float) -> None:
-        """Take the time after which the server closes idle connections."""
+    def set_idle_seconds(self, seconds: float) -> None:
+        """Set the time after which the server closes idle connections."""
         self._idle_seconds = seconds
 
     def return_socket(self, sock: socket.socket) -> None:
-        """Keep a connection whose answer was read to its end."""
+        """Return a connection whose response was read completely."""
         if not self._closed:
-            self._returned[sock] = self._clock()
+            self._idle_since[sock] = self._clock()
         super().return_socket(sock)
 
-    def drop_idle(self) -> None:
-        """Close the idle connections: one of their server's broke.
+    def close_idle(self) -> None:
+        """Close all idle connections, after one connection has broken.
 
-        Connections that went silent, or whose server went dark, did so
-        together; each would else cost one more request.
+        When a server becomes unreachable, or its connections stop responding,
+        usually all of them are affected; each one that stayed in the pool
+        would fail another request.
         """
         while not self._socket_queue.empty():
-            self._drop(self._socket_queue.get(block=False))
+            self._close_idle_socket(self._socket_queue.get(block=False))
 
-    def _drop(self, sock: socket.socket) -> None:
-        del self._returned[sock]
+    def _close_idle_socket(self, sock: socket.socket) -> None:
+        del self._idle_since[sock]
         sock.close()
 
     def _create_socket(self) -> socket.socket:
-        # Addresses are IP numbers: the library's look-up of names would
-        # take a thread for each connection.
+        # Addresses are IP addresses; the library's name resolution would use
+        # a thread for each connection.
         family = socket.AF_INET
         if ':' in self._connection_host:
             family = socket.AF_INET6
@@ -140,7 +157,7 @@
         try:
             sock.settimeout(self.connection_timeout)
             sock.connect((self._connection_host, self._connection_port))
-            sockets.watch_liveness(
+            sockets.set_liveness_options(
                 sock,
                 lost_seconds=self._lost_seconds,
                 idle_seconds=max(1, int(self._lost_seconds)),
@@ -152,9 +169,10 @@
         return sock
 
     def _is_socket_alive(self, sock: socket.socket | None) -> bool:
-        # The library asks select(), which takes no descriptor above 1023:
-        # a busy instance would drop every pooled connection. An idle
-        # connection that is readable has ended or holds bytes of no one's.
+        # The library calls select(), which accepts no descriptor above 1023,
+        # so a busy instance would drop every pooled connection. An idle
+        # connection that is readable was closed, or has received bytes that
+        # belong to no response.
         if sock is None or sock.fileno() < 0:
             return False
         poll = select.poll()
--- a/src/amaranthslip/links/__init__.py
+++ b/src/amaranthslip/links/__init__.py
@@ -1,1 +1,1 @@
-"""Links: messages between instances over TCP."""
+"""TCP connections that carry messages between instances."""
--- a/src/amaranthslip/links/codec.py
+++ b/src/amaranthslip/links/codec.py
@@ -1,15 +1,17 @@
-"""Messages to bytes and back, by Cap'n Proto's flat serialisation.
-
-Not the packed one: its reader ends the whole process on truncated input (an
-exception that crosses the library unhandled). Links deflate the flat bytes,
-which also folds the names that repeat from batch to batch.
-
-An exception of the library itself must not be raised within a greenlet. As
-it is made it walks the stack for a trace, past the greenlet's own part into
-what other greenlets have overwritten since, and the process dies by a
-segmentation fault. So values are checked before they are written, kinds that
-a newer release knows are seen by their tag before they are read, and links
-hand over only bytes whose digest shows that a peer's codec wrote them.
+"""Encodes and decodes message batches with Cap'n Proto's flat serialization.
+
+The packed serialization is not used: its reader terminates the whole process
+on truncated input, because an exception crosses the library unhandled. The
+links compress the flat bytes with deflate, which also removes names that
+repeat from batch to batch.
+
+Cap'n Proto must not raise its own exceptions within a greenlet. Constructing
+such an exception walks the stack for a trace, past the greenlet's own part
+into memory that other greenlets have overwritten since, and the process dies
+with a segmentation fault. Therefore values are checked before they are
+written, the tag of each message is checked for unknown kinds from a newer
+release before the message is read, and the links only pass on bytes whose
+digest proves that the codec of a peer wrote them.
 """
 
 import pathlib
@@ -23,20 +25,21 @@
 capnp.remove_import_hook()
 _SCHEMA = capnp.load(str(pathlib.Path(__file__).with_name('schema.capnp')))
 _WORD_BYTES = 8
-# Each word is read once; twice that leaves room. Cap'n Proto counts an
-# element of a list of empty structs as a word, so that this also bounds the
-# objects that a crafted batch of a few bytes can ask for.
-_TRAVERSALS = 2
-_SPARE_WORDS = 64
+# Traversal limit as a multiple of the batch length. Decoding reads each word
+# once; a factor of two leaves a margin. Cap'n Proto counts an element of a
+# list of empty structs as one word, so the limit also bounds the number of
+# objects that a crafted batch of a few bytes can create.
+_TRAVERSAL_FACTOR = 2
+_EXTRA_TRAVERSAL_WORDS = 64
 
 
-def _camel(name: str) -> str:
+def _convert_to_camel_case(name: str) -> str:
     first, *rest = name.split('_')
     return first + ''.join(part.capitalize() for part in rest)
 
 
-class _Form:
-    """How one message class maps to its struct in the schema."""
+class _StructMapping:
+    """Mapping of one message class to its struct in the schema."""
 
     __slots__ = ('message_class', 'union_field', 'fields', 'lists')
 
@@ -44,7 +47,7 @@
         self,
         message_class: type,
         union_field: str,
-        lists: dict[str, '_Form'],
+        lists: dict[str, '_StructMapping'],
     ) -> None:
         self.message_class = message_class
         self.union_field = union_field
@@ -53,8 +56,8 @@
         self.fields = [
             fields.Field(
                 slot,
-                _camel(slot),
-                struct.fields[_camel(slot)].proto.slot.type,
+                _convert_to_camel_case(slot),
+                struct.fields[_convert_to_camel_case(slot)].proto.slot.type,
             )
             for slot in message_class.__slots__
             if slot not in lists
@@ -64,47 +67,49 @@
         for field in self.fields:
             value = field.convert(getattr(message, field.slot))
             setattr(builder, field.name, value)
-        for slot, form in self.lists.items():
+        for slot, mapping in self.lists.items():
             items = getattr(message, slot)
-            target = builder.init(_camel(slot), len(items))
+            target = builder.init(_convert_to_camel_case(slot), len(items))
             for index, item in enumerate(items):
-                form.write(item, target[index])
+                mapping.write(item, target[index])
 
     def read(self, reader: typing.Any) -> object:
         values = {
             field.slot: getattr(reader, field.name) for field in self.fields
         }
-        for slot, form in self.lists.items():
-            items = getattr(reader, _camel(slot))
-            values[slot] = [form.read(item) for item in items]
+        for slot, mapping in self.lists.items():
+            items = getattr(reader, _convert_to_camel_case(slot))
+            values[slot] = [mapping.read(item) for item in items]
         return self.message_class(**values)
 
 
-_BY_CLASS: dict[type, _Form] = {}
-_BY_TAG: dict[int, _Form] = {}
+_BY_CLASS: dict[type, _StructMapping] = {}
+_MAPPINGS_BY_TAG: dict[int, _StructMapping] = {}
 
 
 def register(message_class: type, **lists: type) -> None:
-    """Make a message class known, under its name in the schema's union.
+    """Register a message class under its name in the schema's union.
 
     Parameters
     ----------
     message_class : type
-        A class whose slots are the fields of the struct of its name.
+        A class whose slots are the fields of the struct of the same name.
     **lists : type
         For each slot that is a list of structs, the class of its items.
     """
     name = message_class.__name__
     union_field = name[0].lower() + name[1:]
-    forms = {slot: _Form(item, '', {}) for slot, item in lists.items()}
-    form = _Form(message_class, union_field, forms)
-    _BY_CLASS[message_class] = form
+    item_mappings = {
+        slot: _StructMapping(item, '', {}) for slot, item in lists.items()
+    }
+    mapping = _StructMapping(message_class, union_field, item_mappings)
+    _BY_CLASS[message_class] = mapping
     union = _SCHEMA.Message.schema.fields[union_field]
-    _BY_TAG[union.proto.discriminantValue] = form
+    _MAPPINGS_BY_TAG[union.proto.discriminantValue] = mapping
 
 
-class Encoded:
-    """One batch as bytes, and the length of each message within it."""
+class EncodedBatch:
+    """One encoded batch, and the length in bytes of each message in it."""
 
     __slots__ = ('data', 'sizes')
 
@@ -114,49 +119,52 @@
 
 
 def encode(messages: typing.Sequence[object]) -> bytes:
-    """Return one batch as bytes."""
-    return encode_sized(messages).data
+    """Encode one batch of messages."""
+    return encode_with_sizes(messages).data
 
 
-def encode_sized(messages: typing.Sequence[object]) -> Encoded:
-    """Return one batch, and each message's length in bytes.
+def encode_with_sizes(messages: typing.Sequence[object]) -> EncodedBatch:
+    """Encode one batch, and return each message's length in bytes.
 
     Raises
     ------
     MessageInvalid
-        A message holds a value that its struct can't.
+        A field of a message has a value that its struct can't hold.
     """
     try:
-        return _encode_sized(messages)
+        return _encode_with_sizes(messages)
     except (capnp.KjException, TypeError, ValueError) as error:
         raise errors.MessageInvalid(
-            f'a message can not be written ({error}); report it with the log'
+            f'cannot encode a message ({error}); report this with the log'
         ) from None
 
 
-def _encode_sized(messages: typing.Sequence[object]) -> Encoded:
+def _encode_with_sizes(messages: typing.Sequence[object]) -> EncodedBatch:
     batch = _SCHEMA.Batch.new_message()
     target = batch.init('messages', len(messages))
     sizes = []
     for index, message in enumerate(messages):
-        form = _BY_CLASS.get(type(message))
-        if form is None:
+        mapping = _BY_CLASS.get(type(message))
+        if mapping is None:
             raise TypeError(f'{type(message).__name__} is not registered')
-        builder = target[index].init(form.union_field)
-        form.write(message, builder)
+        builder = target[index].init(mapping.union_field)
+        mapping.write(message, builder)
         sizes.append(builder.total_size.word_count * _WORD_BYTES)
-    return Encoded(batch.to_bytes(), sizes)
+    return EncodedBatch(batch.to_bytes(), sizes)
 
 
 def decode(data: bytes) -> list[object]:
-    """Return the messages of one batch; unknown newer kinds are left out.
+    """Decode one batch; messages of unknown newer kinds are skipped.
 
     Raises
     ------
     MessageInvalid
-        The bytes are no batch: close the connection.
+        The bytes are not a valid batch; the caller must close the
+        connection.
     """
-    words = len(data) // _WORD_BYTES * _TRAVERSALS + _SPARE_WORDS
+    words = (
+        len(data) // _WORD_BYTES * _TRAVERSAL_FACTOR + _EXTRA_TRAVERSAL_WORDS
+    )
     try:
         with (
             _SCHEMA.BatchTags.from_bytes(
@@ -170,8 +178,8 @@
     except (capnp.KjException, UnicodeDecodeError, ValueError) as error:
         first_line = str(error).partition('\n')[0]
         raise errors.MessageInvalid(
-            f'not a batch of messages ({first_line}); both ends must run '
-            'amaranthslip, and the port must be the peers port'
+            f'invalid message batch ({first_line}); check that both ends run '
+            'amaranthslip and that the port is the peers port'
         ) from None
 
 
@@ -179,6 +187,6 @@
     tags: typing.Any, batch: typing.Any
 ) -> typing.Iterator[object]:
     for tag, message in zip(tags.messages, batch.messages):
-        form = _BY_TAG.get(tag.tag)
-        if form is not None:
-            yield form.read(getattr(message, form.union_field))
+        mapping = _MAPPINGS_BY_TAG.get(tag.tag)
+        if mapping is not None:
+            yield mapping.read(getattr(message, mapping.union_field))
--- a/src/amaranthslip/links/fields.py
+++ b/src/amaranthslip/links/fields.py
@@ -1,7 +1,7 @@
-"""Which values the fields of a message's struct can hold.
+"""Checks that a value fits the type of a field of a message's struct.
 
-The library would refuse the others as well, but by an exception of its own,
-and that may end the process; see codec.py.
+Cap'n Proto rejects unsuitable values as well, but with an exception of its
+own, which may terminate the process; see codec.py.
 """
 
 import enum
@@ -17,23 +17,30 @@
     'uint32': 32,
     'uint64': 64,
 }
-_EXACT_INTEGER = 1 << 53
+_MAX_EXACT_FLOAT_INTEGER = 1 << 53
 
 
 class Field:
-    """One field: a slot of the message, its name and what it holds.
+    """One field: its message slot, its schema name and its value type.
 
     Parameters
     ----------
     slot : str
-        The message's attribute.
+        Name of the message's attribute.
     name : str
-        The struct's field.
+        Name of the struct's field.
     proto : capnp type
         The field's type in the schema.
     """
 
-    __slots__ = ('slot', 'name', '_kind', '_low', '_high', '_item')
+    __slots__ = (
+        'slot',
+        'name',
+        '_kind',
+        '_minimum',
+        '_maximum',
+        '_item_field',
+    )
 
     def __init__(self, slot: str, name: str, proto: typing.Any) -> None:
         self.slot = slot
@@ -41,33 +48,35 @@
         self._kind = str(proto.which())
         bits = _INTEGER_BITS.get(self._kind, 0)
         signed = self._kind.startswith('int')
-        self._low = -(1 << (bits - 1)) if signed and bits else 0
-        self._high = (1 << (bits - 1 if signed else bits)) - 1
-        self._item: Field | None = None
+        self._minimum = -(1 << (bits - 1)) if signed and bits else 0
+        self._maximum = (1 << (bits - 1 if signed else bits)) - 1
+        self._item_field: Field | None = None
         if self._kind == 'list':
-            self._item = Field(slot, name, proto.list.elementType)
+            self._item_field = Field(slot, name, proto.list.elementType)
 
     def convert(self, value: typing.Any) -> typing.Any:
-        """Return a value as the library takes it.
+        """Check a value and return it in the form that pycapnp accepts.
 
         Raises
         ------
         TypeError
-            Names the field, and the value that it can't hold.
+            The field can't hold the value; the message names both.
         """
         if isinstance(value, enum.IntEnum):
             value = int(value)
-        if not self._holds(value):
-            raise TypeError(f'{self.name} ({self._kind}) holds no {value!r}')
+        if not self._accepts(value):
+            raise TypeError(
+                f'field {self.name} ({self._kind}) cannot hold {value!r}'
+            )
         return value
 
-    def _holds(self, value: typing.Any) -> bool:
+    def _accepts(self, value: typing.Any) -> bool:
         if self._kind in _INTEGER_BITS:
             return (
                 isinstance(value, int)
                 and value is not True
                 and value is not False
-                and self._low <= value <= self._high
+                and self._minimum <= value <= self._maximum
             )
         if self._kind == 'text':
             return isinstance(value, str)
@@ -77,9 +86,9 @@
             return value is True or value is False
         if self._kind in ('float32', 'float64'):
             return _is_number(value)
-        if self._item is not None:
-            item = self._item
-            return all(item._holds(each) for each in value)
+        if self._item_field is not None:
+            item_field = self._item_field
+            return all(item_field._accepts(element) for element in value)
         return False
 
 
@@ -89,5 +98,5 @@
     return (
         isinstance(value, int)
         and not isinstance(value, bool)
-        and abs(value) <= _EXACT_INTEGER
+        and abs(value) <= _MAX_EXACT_FLOAT_INTEGER
     )
--- a/src/amaranthslip/links/frames.py
+++ b/src/amaranthslip/links/frames.py
@@ -1,11 +1,12 @@
-"""Frames: a length, a digest, then one deflated batch of messages.
-
-All frames of a connection are one raw deflate stream, flushed after each
-frame, so that names which repeat from frame to frame cost two or three
-bytes. The digest is keyed by the fleet's secret and covers the frame's place
-in its connection: what no peer of this fleet wrote is neither inflated nor
-decoded. It hides nothing, and a recorded connection can be replayed. Window
-and memory level were chosen by measuring; see docs/design/members.md.
+"""Frames: a length, a digest, then one deflate-compressed message batch.
+
+All frames of a connection form one raw deflate stream, which is flushed after
+each frame, so that names which repeat from frame to frame take two or three
+bytes. The digest is keyed with the fleet's secret and covers the frame's
+sequence number within the connection, so bytes that no peer of this fleet
+wrote are neither decompressed nor decoded. The digest provides no
+confidentiality, and a recorded connection can be replayed. The window size
+and the memory level were chosen by measurement; see docs/design/members.md.
 """
 
 import hashlib
@@ -17,49 +18,50 @@
 from amaranthslip import errors
 
 _LENGTH = struct.Struct('>I')
-_PLACE = struct.Struct('>Q')
+_FRAME_NUMBER = struct.Struct('>Q')
 _DIGEST_BYTES = 8
-_LEVEL = 6
-# Measured on probes with one piece of news: a link's two ends take 25 KB
-# with these, against 101 KB with zlib's defaults, and 36 bytes a probe
-# against 31. An instance of the target has hundreds of links, so that
-# memory weighs more; see docs/design/members.md.
+_COMPRESSION_LEVEL = 6
+# Measured on probes with one membership update each: with these values the
+# two ends of a link use 25 KB of memory, against 101 KB with zlib's defaults,
+# and a probe takes 36 bytes, against 31. An instance of the target fleet has
+# hundreds of links, so memory matters more than the frame size; see
+# docs/design/members.md.
 _WINDOW_BITS = 11
 _MEMORY_LEVEL = 1
-MOST_FRAME_BYTES = 1 << 20
-_LEAST_FRAME_BYTES = _DIGEST_BYTES + 1
-MOST_BATCH_BYTES = 1 << 20
+MAX_FRAME_BYTES = 1 << 20
+_MIN_FRAME_BYTES = _DIGEST_BYTES + 1
+MAX_BATCH_BYTES = 1 << 20
 
 
-class _Digest:
-    """The digests of one connection's frames, in their order."""
+class _FrameDigester:
+    """Computes the digests of one connection's frames, in order."""
 
-    __slots__ = ('_keyed', '_place')
+    __slots__ = ('_keyed_hash', '_frame_number')
 
     def __init__(self, secret: str) -> None:
         key = hashlib.blake2b(secret.encode()).digest()
-        self._keyed = hashlib.blake2b(key=key, digest_size=_DIGEST_BYTES)
-        self._place = 0
+        self._keyed_hash = hashlib.blake2b(key=key, digest_size=_DIGEST_BYTES)
+        self._frame_number = 0
 
     def compute(self, body: bytes) -> bytes:
         """Return the digest of the next frame's body."""
-        digest = self._keyed.copy()
-        digest.update(_PLACE.pack(self._place))
+        digest = self._keyed_hash.copy()
+        digest.update(_FRAME_NUMBER.pack(self._frame_number))
         digest.update(body)
-        self._place += 1
+        self._frame_number += 1
         return digest.digest()
 
 
 class Deflater:
-    """The sending side's half of one connection's deflate stream.
+    """Compresses the batches sent on one connection, and adds digests.
 
     Parameters
     ----------
     secret : str
-        The setting `links.secret`, the same at all instances.
+        The setting `links.secret`, which all instances must share.
     """
 
-    __slots__ = ('_stream', '_digest')
+    __slots__ = ('_stream', '_digester')
 
     def __init__(
         self,
@@ -69,9 +71,9 @@
         memory_level: int = _MEMORY_LEVEL,
     ) -> None:
         self._stream = zlib.compressobj(
-            _LEVEL, zlib.DEFLATED, -window_bits, memory_level
+            _COMPRESSION_LEVEL, zlib.DEFLATED, -window_bits, memory_level
         )
-        self._digest = _Digest(secret)
+        self._digester = _FrameDigester(secret)
 
     def pack(self, batch: bytes) -> bytes:
         """Return the frame that carries one encoded batch.
@@ -79,89 +81,92 @@
         Raises
         ------
         MessageInvalid
-            The batch is longer than the receiving side takes: send fewer
-            messages at a time, or split the message.
+            The batch is longer than the receiver accepts: send fewer
+            messages per batch, or split the message.
         """
-        if len(batch) > MOST_BATCH_BYTES:
+        if len(batch) > MAX_BATCH_BYTES:
             raise errors.MessageInvalid(
-                f'a batch of {len(batch)} bytes is longer than '
-                f'{MOST_BATCH_BYTES}; send it in parts'
+                f'batch of {len(batch)} bytes exceeds the limit of '
+                f'{MAX_BATCH_BYTES} bytes; split it'
             )
         body = self._stream.compress(batch)
         body += self._stream.flush(zlib.Z_SYNC_FLUSH)
-        digest = self._digest.compute(body)
+        digest = self._digester.compute(body)
         return _LENGTH.pack(_DIGEST_BYTES + len(body)) + digest + body
 
 
 class Inflater:
-    """The receiving side's half of one connection's deflate stream."""
+    """Verifies and decompresses the frames received on one connection."""
 
-    __slots__ = ('_stream', '_digest')
+    __slots__ = ('_stream', '_digester')
 
     def __init__(
         self, secret: str = '', *, window_bits: int = _WINDOW_BITS
     ) -> None:
         self._stream = zlib.decompressobj(-window_bits)
-        self._digest = _Digest(secret)
+        self._digester = _FrameDigester(secret)
 
-    def unpack(self, signed: bytes) -> bytes:
-        """Return the encoded batch of one frame's digest and body.
+    def unpack(self, digest_and_body: bytes) -> bytes:
+        """Verify one frame's digest and body, and return its encoded batch.
 
         Raises
         ------
         MessageInvalid
-            The digest differs, or the bytes are no deflate stream, or
-            inflate to too much.
+            The digest does not match, the bytes are not a deflate stream,
+            or they decompress to more than a batch may have.
         """
-        body = signed[_DIGEST_BYTES:]
-        digest = self._digest.compute(body)
-        if not hmac.compare_digest(digest, signed[:_DIGEST_BYTES]):
+        body = digest_and_body[_DIGEST_BYTES:]
+        digest = self._digester.compute(body)
+        if not hmac.compare_digest(digest, digest_and_body[:_DIGEST_BYTES]):
             raise errors.MessageInvalid(
-                'the digest of a frame differs; give all instances the same '
-                'links.secret, and let only instances use the peers port'
+                'frame digest mismatch; check that all instances use the '
+                'same links.secret and that only instances use the peers port'
             )
         try:
-            batch = self._stream.decompress(body, MOST_BATCH_BYTES)
+            batch = self._stream.decompress(body, MAX_BATCH_BYTES)
         except zlib.error as error:
             raise errors.MessageInvalid(
-                f'not a deflated frame ({error}); check that the port is '
-                'the peers port of an amaranthslip of this version'
+                f'invalid deflate data ({error}); check that the port is '
+                'the peers port of an amaranthslip instance of this version'
             ) from None
-        # A few hundred bytes can inflate to a gigabyte. The limit above
-        # stops the inflating itself; what is left over shows as a tail.
+        # A few hundred bytes can decompress to a gigabyte. The limit passed
+        # to decompress() above stops the decompression, and the input left
+        # over is then in unconsumed_tail.
         if self._stream.unconsumed_tail or self._stream.eof:
             raise errors.MessageInvalid(
-                f'a frame of {len(body)} bytes inflates to more than '
-                f'{MOST_BATCH_BYTES} or ends the stream; refused'
+                f'frame of {len(body)} bytes decompresses to more than '
+                f'{MAX_BATCH_BYTES} bytes or ends the deflate stream'
             )
         return batch
 
 
 def read_frame(read: typing.Callable[[int], bytes]) -> bytes | None:
-    """Return the next frame's digest and body, or None at the end.
+    """Return the next frame's digest and body, or None at end of stream.
 
     Parameters
     ----------
     read : callable
-        Returns exactly the bytes asked for, fewer only at the end.
+        Takes a number of bytes and returns exactly that many, fewer only
+        at the end of the connection.
 
     Raises
     ------
     MessageInvalid
-        The length is out of range, or the connection ends in a frame.
+        The length is out of range, or the connection ended within a
+        frame.
     """
-    head = read(_LENGTH.size)
-    if not head:
+    header = read(_LENGTH.size)
+    if not header:
         return None
-    length = _LENGTH.unpack(head)[0] if len(head) == _LENGTH.size else 0
-    if not _LEAST_FRAME_BYTES <= length <= MOST_FRAME_BYTES:
+    length = _LENGTH.unpack(header)[0] if len(header) == _LENGTH.size else 0
+    if not _MIN_FRAME_BYTES <= length <= MAX_FRAME_BYTES:
         raise errors.MessageInvalid(
-            f'a frame of {length} bytes; allowed: {_LEAST_FRAME_BYTES} to '
-            f'{MOST_FRAME_BYTES}; let only instances use the peers port'
+            f'frame length {length} is not within {_MIN_FRAME_BYTES} to '
+            f'{MAX_FRAME_BYTES}; let only instances use the peers port'
         )
     body = read(length)
     if len(body) < length:
         raise errors.MessageInvalid(
-            'the connection ended within a frame; the peer dials again'
+            'the connection ended within a frame; the peer will reconnect'
         )
     return body
--- a/src/amaranthslip/links/links.py
+++ b/src/amaranthslip/links/links.py
@@ -1,4 +1,4 @@
-"""Messages between instances over TCP, one connection for each direction."""
+"""Message exchange between instances, one TCP connection per direction."""
 
 import collections
 import contextlib
@@ -23,36 +23,39 @@
 from amaranthslip import settings as settings_module
 
 _LOG = logging.getLogger(__name__)
-# Most frames are short; longer reads pass the buffer by.
+# Most frames are short; reads longer than this bypass the buffer.
 _READ_BYTES = 1024
 _FLUSH_SECONDS = 1.0
-_FLUSH_STEP_SECONDS = 0.01
+_FLUSH_POLL_SECONDS = 0.01
 
 Receive = typing.Callable[[str, object], None]
 
 
 class Links:
-    """Sends messages to named peers, and takes theirs.
+    """Sends messages to named peers and receives messages from them.
 
     Parameters
     ----------
     settings : Settings
-        `addresses.peers` is where peers connect; port 0 lets the kernel
-        choose, and `start` then writes the real one into `member`.
+        `addresses.peers` is the address to listen on; with port 0 the
+        kernel chooses the port, and `start` then sets `member.address` to
+        the actual address.
     metrics : Metrics
         Counts `control_bytes` and `control_messages` by kind of message,
         and `dropped_messages` by reason.
     member : Member
-        This instance, as its Hello tells it at each new connection.
+        This instance; its Hello on each new connection is built from it.
     receive : callable
         Called with the sender's name and each message, in the greenlet of
-        the connection that it came by. The first one is the Hello: state
-        of that sender from before it is to be replaced.
+        the connection that delivered it. The first message on a peer's
+        connection is a Hello: the receiver must then replace the state
+        that it holds from this peer.
     on_connect : callable or None
-        Called with a peer's name on each new connection to it; returns the
-        messages to send before all others, so that state is given again
-        after a cut. Messages queued before the connection was made may
-        then repeat what these say.
+        Called with a peer's name on each new connection to the peer;
+        returns the messages to send before all others, so that the peer
+        receives the current state again after a connection was lost.
+        Messages that were queued before the connection was established may
+        repeat that state.
     """
 
     __slots__ = (
@@ -62,11 +65,11 @@
         '_receive',
         '_on_connect',
         '_peers',
-        '_local',
-        '_local_wake',
-        '_incoming',
+        '_local_queue',
+        '_local_queued',
+        '_incoming_sockets',
         '_server',
-        '_stack',
+        '_cleanup',
     )
 
     def __init__(
@@ -76,7 +79,7 @@
         member: members.Member,
         receive: Receive,
         *,
-        on_connect: peer_module.Greet | None = None,
+        on_connect: peer_module.BuildInitialMessages | None = None,
     ) -> None:
         registry.register_all()
         self._settings = settings
@@ -85,44 +88,44 @@
         self._receive = receive
         self._on_connect = on_connect
         self._peers: dict[str, peer_module.Peer] = {}
-        self._local: collections.deque[object] = collections.deque()
-        self._local_wake = event.Event()
-        self._incoming: dict[str, socket.socket] = {}
+        self._local_queue: collections.deque[object] = collections.deque()
+        self._local_queued = event.Event()
+        self._incoming_sockets: dict[str, socket.socket] = {}
         self._server: server.StreamServer | None = None
-        self._stack = contextlib.ExitStack()
+        self._cleanup = contextlib.ExitStack()
 
     @property
     def address(self) -> str:
-        """Where peers reach this instance."""
+        """The address at which peers connect to this instance."""
         return self._member.address
 
     def start(self) -> None:
-        """Listen, and begin to deliver."""
+        """Listen for peers and start to deliver messages."""
         connections = pool.Pool(self._settings.links.connections)
         bind = sockets.split_address(self._settings.addresses.peers)
         self._server = server.StreamServer(
             bind, self._serve, spawn=connections
         )
         self._server.start()
-        self._stack.callback(connections.kill)
-        self._stack.callback(self._server.close)
+        self._cleanup.callback(connections.kill)
+        self._cleanup.callback(self._server.close)
         if not bind[1]:
             self._member.address = sockets.join_address(self._server.address)
-        self._stack.callback(gevent.spawn(self._deliver_local).kill)
+        self._cleanup.callback(gevent.spawn(self._deliver_local).kill)
 
     def close(self) -> None:
-        """Send what is queued, for a second at most, and close all."""
+        """Flush the queues for one second at most, then close all links."""
         with gevent.Timeout(_FLUSH_SECONDS, False):
             while any(peer.queued for peer in self._peers.values()):
-                gevent.sleep(_FLUSH_STEP_SECONDS)
+                gevent.sleep(_FLUSH_POLL_SECONDS)
         for name in list(self._peers):
             self.forget(name)
-        self._stack.close()
+        self._cleanup.close()
 
     def set_address(self, name: str, address: str) -> None:
-        """Make a peer known, or where it has moved to.
+        """Add a peer, or change the address of a known peer.
 
-        The setting `links.via` overrules the address.
+        The setting `links.via` overrides the address.
         """
         if name == self._member.name:
             return
@@ -133,17 +136,27 @@
         if peer is not None:
             self.forget(name)
         self._peers[name] = peer_module.Peer(
-            name, address, self._settings, self._metrics, self._greet
+            name,
+            address,
+            self._settings,
+            self._metrics,
+            self._build_initial_messages,
         )
 
     def forget(self, name: str) -> None:
-        """Close the connection to a peer, and drop what waits for it."""
+        """Close the connection to a peer and drop its queued messages."""
         peer = self._peers.pop(name, None)
         if peer is not None:
             peer.close()
 
     def send(self, name: str, message: object) -> bool:
-        """Put a message on a peer's queue; False: unknown, or queue full."""
+        """Queue a message for a peer.
+
+        Returns
+        -------
+        bool
+            False if the peer is unknown or its queue is full.
+        """
         if name == self._member.name:
             return self._put_local(message)
         peer = self._peers.get(name)
@@ -153,21 +166,21 @@
         return peer.put(message)
 
     def _put_local(self, message: object) -> bool:
-        if len(self._local) >= self._settings.links.queue_messages:
+        if len(self._local_queue) >= self._settings.links.queue_messages:
             self._metrics.count('dropped_messages', 'queue_full')
             return False
-        self._local.append(message)
-        self._local_wake.set()
+        self._local_queue.append(message)
+        self._local_queued.set()
         return True
 
     def _deliver_local(self) -> None:
         while True:
-            self._local_wake.wait()
-            self._local_wake.clear()
-            while self._local:
-                self._deliver(self._member.name, self._local.popleft())
+            self._local_queued.wait()
+            self._local_queued.clear()
+            while self._local_queue:
+                self._deliver(self._member.name, self._local_queue.popleft())
 
-    def _greet(self, name: str) -> list[object]:
+    def _build_initial_messages(self, name: str) -> list[object]:
         hello = messages.Hello(
             name=self._member.name,
             incarnation=self._member.incarnation,
@@ -180,7 +193,8 @@
         try:
             return [hello, *self._on_connect(name)]
         except Exception:
-            # One part's fault must not keep all parts from this peer.
+            # A fault in one component's callback must not keep the other
+            # components from communicating with this peer.
             _LOG.exception('on_connect_failed', extra={'peer': name})
             return [hello]
 
@@ -207,27 +221,28 @@
     def _read_connection(
         self, sock: socket.socket, stack: contextlib.ExitStack
     ) -> None:
-        sockets.watch_liveness(
+        sockets.set_liveness_options(
             sock, lost_seconds=self._settings.links.lost_seconds
         )
         reader = stack.enter_context(
             sock.makefile('rb', buffering=_READ_BYTES)
         )
         inflater = frames.Inflater(self._settings.links.secret)
-        # Whoever connects and says nothing must not hold a connection.
+        # A client that connects and sends nothing must not occupy one of the
+        # limited connections.
         sock.settimeout(self._settings.links.hello_seconds)
         first = self._read_batch(reader, inflater)
         if not first or not isinstance(first[0], messages.Hello):
             raise errors.MessageInvalid(
-                'a connection did not begin with a Hello; check that only '
-                'instances use the peers port'
+                'the first message on a connection was not a Hello; check '
+                'that only instances use the peers port'
             )
         sock.settimeout(None)
         name = first[0].name
         self._replace_connection(name, sock)
-        stack.callback(self._forget_connection, name, sock)
+        stack.callback(self._remove_connection, name, sock)
         batch: list[object] | None = first
-        while batch is not None and self._incoming.get(name) is sock:
+        while batch is not None and self._incoming_sockets.get(name) is sock:
             for message in batch:
                 self._deliver(name, message)
             gevent.sleep(0)
@@ -242,27 +257,28 @@
         return codec.decode(inflater.unpack(body))
 
     def _replace_connection(self, name: str, sock: socket.socket) -> None:
-        # After a cut the old connection may still hold messages that were
-        # sent before it. Delivered after the new Hello they would undo
-        # newer state, so only the newest connection of a name is read.
-        old = self._incoming.get(name)
-        self._incoming[name] = sock
+        # After a connection was lost, the old socket may still hold messages
+        # that were sent earlier. Delivering them after the new Hello would
+        # overwrite newer state with older, so only the newest connection of
+        # each sender is read.
+        old = self._incoming_sockets.get(name)
+        self._incoming_sockets[name] = sock
         if old is not None:
             with contextlib.suppress(OSError):
                 old.shutdown(socket.SHUT_RDWR)
         if name in self._peers:
-            self._peers[name].hurry()
+            self._peers[name].reset_backoff()
 
-    def _forget_connection(self, name: str, sock: socket.socket) -> None:
-        if self._incoming.get(name) is sock:
-            del self._incoming[name]
+    def _remove_connection(self, name: str, sock: socket.socket) -> None:
+        if self._incoming_sockets.get(name) is sock:
+            del self._incoming_sockets[name]
 
     def _deliver(self, name: str, message: object) -> None:
         try:
             self._receive(name, message)
         except Exception:
-            # One message that a part fails over must not end the
-            # connection that all parts share.
+            # A message that one component fails to handle must not end the
+            # connection, which all components share.
             kind = type(message).__name__
             _LOG.exception(
                 'receive_failed', extra={'peer': name, 'kind': kind}
--- a/src/amaranthslip/links/peer.py
+++ b/src/amaranthslip/links/peer.py
@@ -1,4 +1,4 @@
-"""One peer, as the sending side sees it: a queue and a connection."""
+"""Sending side of the link to one peer: a queue and a connection."""
 
 import collections
 import contextlib
@@ -19,20 +19,26 @@
 from amaranthslip import settings as settings_module
 
 _LOG = logging.getLogger(__name__)
-_MOST_IN_FRAME = 64
+_MAX_MESSAGES_PER_FRAME = 64
 _BACKOFF_SECONDS = 0.1
-_BACKOFF_MOST_SECONDS = 5.0
-# Redials without a message to send, after state was lost: some 25 seconds.
-_MOST_REDIALS = 10
-# A connection that lived this long makes the next backoff start anew.
-_STEADY_SECONDS = 5.0
+_MAX_BACKOFF_SECONDS = 5.0
+# Consecutive connection failures after which a peer with no queued messages
+# is not dialled again, although state sent to the peer was lost. With the
+# backoff above this takes about 25 seconds.
+_MAX_REDIALS = 10
+# After a connection that lasted at least this long, the backoff restarts at
+# its shortest delay.
+_STABLE_SECONDS = 5.0
 _READABLE = 1
 
-Greet = typing.Callable[[str], typing.Sequence[object]]
+BuildInitialMessages = typing.Callable[[str], typing.Sequence[object]]
 
 
 class Peer:
-    """Sends messages to one peer, from one greenlet while there are any.
+    """Sends messages to one peer from one greenlet.
+
+    The greenlet starts when a message is queued. It ends when the connection
+    has been idle for `links.idle_seconds`, or when reconnecting is given up.
 
     Parameters
     ----------
@@ -42,9 +48,9 @@
         Its `links` section is used.
     metrics : Metrics
         Counts bytes, messages and drops.
-    greet : callable
+    build_initial_messages : callable
         Called with the peer's name on each new connection; returns the
-        messages that go before all others.
+        messages to send before all others.
     """
 
     __slots__ = (
@@ -52,14 +58,14 @@
         'address',
         '_settings',
         '_metrics',
-        '_greet',
+        '_build_initial_messages',
         '_queue',
         '_wake',
         '_greenlet',
         '_failures',
-        '_owes_state',
-        '_dial_after',
-        '_answered',
+        '_must_resend_state',
+        '_next_dial_at',
+        '_closed_by_peer',
     )
 
     def __init__(
@@ -68,28 +74,28 @@
         address: str,
         settings: settings_module.Settings,
         metrics: metrics_module.Metrics,
-        greet: Greet,
+        build_initial_messages: BuildInitialMessages,
     ) -> None:
         self.name = name
         self.address = address
         self._settings = settings
         self._metrics = metrics
-        self._greet = greet
+        self._build_initial_messages = build_initial_messages
         self._queue: collections.deque[object] = collections.deque()
         self._wake = event.Event()
         self._greenlet: gevent.Greenlet | None = None
         self._failures = 0
-        self._owes_state = False
-        self._dial_after = 0.0
-        self._answered = False
+        self._must_resend_state = False
+        self._next_dial_at = 0.0
+        self._closed_by_peer = False
 
     @property
     def queued(self) -> int:
-        """How many messages wait to be sent."""
+        """Number of messages in the queue."""
         return len(self._queue)
 
     def put(self, message: object) -> bool:
-        """Queue a message; False where the queue is full."""
+        """Queue a message; return False if the queue is full."""
         if len(self._queue) >= self._settings.links.queue_messages:
             self._metrics.count('dropped_messages', 'queue_full')
             return False
@@ -98,20 +104,20 @@
         self._ensure_running()
         return True
 
-    def hurry(self) -> None:
-        """Dial without waiting: the peer has just shown that it lives."""
+    def reset_backoff(self) -> None:
+        """Reset the backoff, since the peer has just opened a connection."""
         if self._failures:
             self._failures = 0
-            self._dial_after = 0.0
+            self._next_dial_at = 0.0
             self._wake.set()
-            if self._owes_state:
+            if self._must_resend_state:
                 self._ensure_running()
 
     def close(self) -> None:
-        """End the connection; what is queued is dropped and counted."""
+        """Close the connection; drop and count the queued messages."""
         if self._greenlet is not None:
             self._greenlet.kill()
-        self._drop('closed')
+        self._drop_queue('closed')
 
     def _ensure_running(self) -> None:
         if self._greenlet is None:
@@ -119,21 +125,21 @@
 
     def _run(self) -> None:
         try:
-            while self._queue or self._may_redial():
+            while self._queue or self._should_redial():
                 self._wait_backoff()
-                self._use_connection()
+                self._connect_and_send()
         finally:
             self._greenlet = None
 
-    def _may_redial(self) -> bool:
-        return self._owes_state and self._failures < _MOST_REDIALS
+    def _should_redial(self) -> bool:
+        return self._must_resend_state and self._failures < _MAX_REDIALS
 
     def _wait_backoff(self) -> None:
-        while (left := self._dial_after - time.monotonic()) > 0:
+        while (remaining := self._next_dial_at - time.monotonic()) > 0:
             self._wake.clear()
-            self._wake.wait(left)
+            self._wake.wait(remaining)
 
-    def _use_connection(self) -> None:
+    def _connect_and_send(self) -> None:
         links = self._settings.links
         started = time.monotonic()
         reason = 'unreachable'
@@ -147,48 +153,53 @@
                 stack.callback(sock.close)
                 started = time.monotonic()
                 reason = 'connection_lost'
-                self._watch_closing(sock, stack)
+                self._watch_for_close(sock, stack)
                 self._send_all(sock, frames.Deflater(links.secret))
             except OSError as error:
-                self._note_loss(reason, error, time.monotonic() - started)
+                self._handle_connection_loss(
+                    reason, error, time.monotonic() - started
+                )
 
-    def _watch_closing(
+    def _watch_for_close(
         self, sock: socket.socket, stack: contextlib.ExitStack
     ) -> None:
-        # The other side never sends on this connection: when it becomes
-        # readable, it was closed or reset. Without this watch, a sender
-        # that has nothing to say would not learn that what it said last
-        # was lost, and the peer would miss that state for good.
-        self._answered = False
+        # The peer never sends on this connection, so the connection only
+        # becomes readable when it was closed or reset. Without this watcher,
+        # a sender with an empty queue would not detect that its last messages
+        # were lost, and the peer would never receive that state.
+        self._closed_by_peer = False
         watcher = gevent.get_hub().loop.io(sock.fileno(), _READABLE)
         stack.callback(watcher.close)
         stack.callback(watcher.stop)
-        watcher.start(self._note_closing, watcher)
+        watcher.start(self._mark_closed, watcher)
 
-    def _note_closing(self, watcher: typing.Any) -> None:
+    def _mark_closed(self, watcher: typing.Any) -> None:
         watcher.stop()
-        self._answered = True
+        self._closed_by_peer = True
         self._wake.set()
 
     def _send_all(
         self, sock: socket.socket, deflater: frames.Deflater
     ) -> None:
-        self._queue.extendleft(reversed(self._greet(self.name)))
-        self._owes_state = False
+        self._queue.extendleft(
+            reversed(self._build_initial_messages(self.name))
+        )
+        self._must_resend_state = False
         while self._wait_message():
-            count = min(len(self._queue), _MOST_IN_FRAME)
+            count = min(len(self._queue), _MAX_MESSAGES_PER_FRAME)
             batch = [self._queue.popleft() for _ in range(count)]
             self._send_batch(sock, deflater, batch)
-            # A socket that takes everything at once never yields; other
-            # greenlets must get their turn beside a busy peer.
+            # sendall() does not yield to the hub when the socket buffer takes
+            # all bytes at once; yield here, so that other greenlets run
+            # while messages to a busy peer are sent.
             gevent.sleep(0)
 
     def _wait_message(self) -> bool:
-        if not self._queue and not self._answered:
+        if not self._queue and not self._closed_by_peer:
             self._wake.clear()
             self._wake.wait(self._settings.links.idle_seconds)
-        if self._answered:
-            raise ConnectionResetError('closed by the peer')
+        if self._closed_by_peer:
+            raise ConnectionResetError('connection closed by the peer')
         return bool(self._queue)
 
     def _send_batch(
@@ -198,10 +209,10 @@
         batch: list[object],
     ) -> None:
         try:
-            encoded = codec.encode_sized(batch)
+            encoded = codec.encode_with_sizes(batch)
             frame = deflater.pack(encoded.data)
         except errors.MessageInvalid as error:
-            self._send_halves(sock, deflater, batch, error)
+            self._split_and_send(sock, deflater, batch, error)
             return
         try:
             sock.sendall(frame)
@@ -210,15 +221,16 @@
             raise
         self._count_sent(batch, encoded.sizes, len(frame))
 
-    def _send_halves(
+    def _split_and_send(
         self,
         sock: socket.socket,
         deflater: frames.Deflater,
         batch: list[object],
         error: errors.MessageInvalid,
     ) -> None:
-        # One message that can't be written, or is too long, must not take
-        # those with it that happened to be in the same frame.
+        # A message that can't be encoded, or is too long, must not cause the
+        # loss of the other messages in the same frame. Splitting the batch
+        # repeatedly isolates and drops only that message.
         if len(batch) == 1:
             kind = type(batch[0]).__name__
             _LOG.error(
@@ -233,32 +245,34 @@
     def _count_sent(
         self, batch: list[object], sizes: list[int], frame_bytes: int
     ) -> None:
-        whole = sum(sizes) or 1
+        total_size = sum(sizes) or 1
         for message, size in zip(batch, sizes):
             kind = type(message).__name__
-            share = frame_bytes * size / whole
+            share = frame_bytes * size / total_size
             self._metrics.count('control_messages', kind)
             self._metrics.count('control_bytes', kind, share)
 
-    def _note_loss(
-        self, reason: str, error: OSError, lived_seconds: float
+    def _handle_connection_loss(
+        self, reason: str, error: OSError, connected_seconds: float
     ) -> None:
-        if lived_seconds >= _STEADY_SECONDS and reason != 'unreachable':
+        if connected_seconds >= _STABLE_SECONDS and reason != 'unreachable':
             self._failures = 0
         if not self._failures:
             _LOG.info(
                 'link_lost',
                 extra={'peer': self.name, 'reason': reason, 'error': error},
             )
-        longest = min(
-            _BACKOFF_SECONDS * 2**self._failures, _BACKOFF_MOST_SECONDS
+        max_delay = min(
+            _BACKOFF_SECONDS * 2**self._failures, _MAX_BACKOFF_SECONDS
         )
         self._failures += 1
-        self._dial_after = time.monotonic() + random.uniform(0.5, 1) * longest
-        self._owes_state = True
-        self._drop(reason)
+        self._next_dial_at = (
+            time.monotonic() + random.uniform(0.5, 1) * max_delay
+        )
+        self._must_resend_state = True
+        self._drop_queue(reason)
 
-    def _drop(self, reason: str) -> None:
+    def _drop_queue(self, reason: str) -> None:
         self._count_drops(reason, len(self._queue))
         self._queue.clear()
 
--- a/src/amaranthslip/links/registry.py
+++ b/src/amaranthslip/links/registry.py
@@ -1,4 +1,4 @@
-"""Every message class that instances exchange, made known to the codec."""
+"""Registration of all inter-instance message classes with the codec."""
 
 from amaranthslip.configuration import messages as configuration_messages
 from amaranthslip.links import codec
@@ -10,7 +10,7 @@
 
 
 def register_all() -> None:
-    """Register the messages of all aggregates; harmless when repeated."""
+    """Register the message classes of all packages; idempotent."""
     codec.register(member_messages.Hello)
     codec.register(member_messages.Probe, news=member_messages.News)
     codec.register(member_messages.ProbeAnswer, news=member_messages.News)
--- a/src/amaranthslip/links/schema.capnp
+++ b/src/amaranthslip/links/schema.capnp
@@ -1,16 +1,17 @@
 @0xb7d3a1c04e5f9821;
 
-# Messages between amaranthslip instances. Struct and field names follow the
+# Messages between amaranthslip instances. Struct and field names match the
 # message classes: the codec copies slots to fields of the same name.
-# New messages and fields are only ever appended, so that two releases can
-# talk during a rolling replacement.
+# New messages and fields must only be appended, so that two releases stay
+# compatible during a rolling upgrade.
 
 struct Batch {
   messages @0 :List(Message);
 }
 
-# A batch seen as tags only: the union's tag is the first word of a Message.
-# Reading an unknown tag as a Message raises; see codec.py.
+# View of a batch that exposes only the tags: the union's tag is in the first
+# word of a Message. Reading an unknown tag as a Message raises an exception;
+# see codec.py.
 struct BatchTags {
   messages @0 :List(MessageTag);
 }
--- a/src/amaranthslip/links/sockets.py
+++ b/src/amaranthslip/links/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options and addresses of the connections between instances."""
+"""Socket options and address parsing for TCP connections."""
 
 from gevent import baseserver
 from gevent import socket
@@ -9,14 +9,14 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return the IP number and port of `10.0.0.5:7000` or `[::1]:7000`."""
+    """Split `10.0.0.5:7000` or `[::1]:7000` into IP address and port."""
     return baseserver.parse_address(address)[1]
 
 
 def join_address(address: tuple[str, int]) -> str:
-    """Return an IP number and port as one text."""
-    number, port = address[0], address[1]
-    return f'[{number}]:{port}' if ':' in number else f'{number}:{port}'
+    """Join an IP address and port into one string."""
+    host, port = address[0], address[1]
+    return f'[{host}]:{port}' if ':' in host else f'{host}:{port}'
 
 
 def dial(
@@ -27,11 +27,12 @@
     Parameters
     ----------
     address : str
-        IP number and port.
+        IP address and port.
     dial_seconds : float
-        How long the connection may take to be made.
+        Timeout for establishing the connection, in seconds.
     lost_seconds : float
-        How long sent bytes may stay unacknowledged.
+        Seconds that sent bytes may stay unacknowledged before the kernel
+        closes the connection.
 
     Raises
     ------
@@ -42,24 +43,34 @@
         split_address(address), timeout=dial_seconds
     )
     sock.settimeout(lost_seconds)
-    watch_liveness(sock, lost_seconds=lost_seconds)
+    set_liveness_options(sock, lost_seconds=lost_seconds)
     return sock
 
 
-def watch_liveness(
+def set_liveness_options(
     sock: socket.socket,
     *,
     lost_seconds: float,
     idle_seconds: int = _KEEPALIVE_IDLE_SECONDS,
     interval_seconds: int = _KEEPALIVE_INTERVAL_SECONDS,
 ) -> None:
-    """Let the kernel end a connection whose other end is gone.
+    """Set options that let the kernel close a connection to a dead host.
 
-    An instance that loses its power or network closes nothing: the other
-    side would hold a half-open connection for ever, and a sender would
-    write into it for a quarter of an hour. TCP_USER_TIMEOUT ends it when
-    sent bytes, or probes of a shut window, go unanswered; keepalive ends
-    one on which nothing is sent.
+    A host that loses power or network does not close its connections. Its
+    counterpart would keep a half-open connection forever, and a sender would
+    write to that connection for a quarter of an hour. TCP_USER_TIMEOUT closes
+    a connection on which sent bytes or zero-window probes stay unacknowledged;
+    keepalive closes one on which nothing is sent.
+
+    Parameters
+    ----------
+    sock : socket.socket
+        A connected or accepted TCP socket.
+    lost_seconds : float
+        TCP_USER_TIMEOUT, in seconds.
+    idle_seconds, interval_seconds : int
+        Seconds without traffic before the first keepalive probe, and between
+        two probes.
     """
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
@@ -73,12 +84,12 @@
         sock.setsockopt(tcp, option, value)
 
 
-def probe_while_used(sock: socket.socket, used: bool) -> None:
-    """Send keepalive probes only while a connection is in use.
+def set_keepalive(sock: socket.socket, enabled: bool) -> None:
+    """Turn keepalive probes on for a connection in use, off for an idle one.
 
-    Short probes find a server that went dark within two seconds. On idle
-    connections, 85 instances with one to each of 75 servers, they would be
-    12,000 packets a second for nothing: whether an idle one lives is seen
-    when it is taken.
+    Frequent probes detect an unreachable server within two seconds. On idle
+    connections, with 85 instances that hold one to each of 75 servers, they
+    would cost 12,000 packets a second without benefit: an idle connection is
+    checked when it is taken from the pool.
     """
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, int(used))
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, int(enabled))
--- a/tests/features/steps/connections.py
+++ b/tests/features/steps/connections.py
@@ -1,4 +1,4 @@
-"""Steps about kept connections to one backend server."""
+"""Steps for pooled connections to one backend server."""
 
 import behave
 import gevent
@@ -13,9 +13,9 @@
 _REUSE = {'once': outgoing.Reuse.SURE, 'again': outgoing.Reuse.ANY}
 
 
-def _start(context, follow):
+def _start_server(context, handle_connection):
     context.now = 100.0
-    context.server = exchanges.Script(follow)
+    context.server = exchanges.Script(handle_connection)
     context.add_cleanup(context.server.close)
     context.connections = connections.Connections(
         callers.build_settings(), clock=lambda: context.now
@@ -43,58 +43,60 @@
         return answer.read_whole(1000)
 
 
-@behave.given('a server that tells an idle timeout of {seconds:d} seconds')
-def start_telling(context, seconds):
-    def follow(script, sock):
+@behave.given('a server that announces an idle timeout of {seconds:d} seconds')
+def start_with_idle_timeout(context, seconds):
+    def handle_connection(script, sock):
         while script.read(sock):
             answer = exchanges.write_answer(
                 b'ok', Keep_Alive=f'timeout={seconds}'
             )
             sock.sendall(answer)
 
-    _start(context, follow)
+    _start_server(context, handle_connection)
 
 
-@behave.given('a server that tells no idle timeout')
-def start_untold(context):
-    def follow(script, sock):
+@behave.given('a server that announces no idle timeout')
+def start_without_idle_timeout(context):
+    def handle_connection(script, sock):
         while script.read(sock):
             sock.sendall(exchanges.write_answer(b'ok'))
 
-    _start(context, follow)
+    _start_server(context, handle_connection)
 
 
 @behave.given('a server that closes each connection at its second request')
-def start_closing(context):
-    def follow(script, sock):
+def start_closing_server(context):
+    def handle_connection(script, sock):
         script.read(sock)
-        # Requests that come at once are answered late enough to meet.
+        # Delay the response, so that simultaneous requests overlap and each
+        # of them needs its own connection.
         gevent.sleep(0.02)
         sock.sendall(exchanges.write_answer(b'ok'))
         script.read(sock)
         sock.close()
 
-    _start(context, follow)
+    _start_server(context, handle_connection)
 
 
 @behave.when(
-    '{count:d} requests that may be sent once come one after the other'
+    '{count:d} requests that may be sent once are sent one after the other'
 )
-def send_some(context, count):
+def send_sequentially(context, count):
     for _ in range(count):
         assert _send(context, outgoing.Reuse.SURE) == b'ok'
 
 
 @behave.when(
-    '{count:d} requests whose effect must be known come one after the other'
+    '{count:d} requests whose outcome must be known are sent one after the'
+    ' other'
 )
-def send_known(context, count):
+def send_with_known_outcome(context, count):
     for _ in range(count):
         assert _send(context, outgoing.Reuse.NEVER) == b'ok'
 
 
 @behave.when(
-    'a request that may be sent {times} comes after {seconds:d} idle seconds'
+    'a request that may be sent {times} is sent after {seconds:d} idle seconds'
 )
 def send_after(context, times, seconds):
     _send(context, _REUSE[times])
@@ -111,8 +113,8 @@
     assert context.server.connections == idle, context.server.connections
 
 
-@behave.when('a request that may be sent once meets the closing')
-def meet_closing(context):
+@behave.when('a request that may be sent once is sent as the server closes')
+def send_during_close(context):
     if not context.server.connections:
         _send(context, outgoing.Reuse.SURE)
     context.failure = None
@@ -122,7 +124,7 @@
         context.failure = failure
 
 
-@behave.when('another request that may be sent once comes')
+@behave.when('another request that may be sent once is sent')
 def send_another(context):
     assert _send(context, outgoing.Reuse.SURE) == b'ok'
 
@@ -131,7 +133,7 @@
     raise errors.BackendFailed('leaving', 'the server is leaving', sent=False)
 
 
-@behave.when('a request comes whose server has begun to leave')
+@behave.when('a request is sent to a server that has begun to leave')
 def send_to_leaving(context):
     try:
         _send(context, outgoing.Reuse.ANY, check_server=_raise_leaving)
@@ -140,21 +142,25 @@
     exchanges.wait_until(lambda: context.server.connections)
 
 
-@behave.then('it fails as one that was not sent')
+@behave.then('the request fails and is reported as not sent')
 def check_not_sent(context):
     assert context.failure is not None
     assert not context.failure.sent, context.failure
 
 
-@behave.then('it fails as one that may have run')
+@behave.then('the request fails and is reported as one that may have run')
 def check_failure(context):
     assert context.failure is not None
     assert context.failure.sent, context.failure
 
 
-@behave.then('the server got {requests:d} requests on {count:d} connection')
-@behave.then('the server got {requests:d} requests on {count:d} connections')
+@behave.then(
+    'the server received {requests:d} requests on {count:d} connection'
+)
+@behave.then(
+    'the server received {requests:d} requests on {count:d} connections'
+)
 def check_connections(context, requests, count):
-    got = [each for each in context.server.requests if each]
-    assert len(got) == requests, len(got)
+    received = [request for request in context.server.requests if request]
+    assert len(received) == requests, len(received)
     assert context.server.connections == count, context.server.connections
--- a/tests/features/steps/links.py
+++ b/tests/features/steps/links.py
@@ -1,4 +1,4 @@
-"""Steps about the links between instances."""
+"""Steps for the links between instances."""
 
 import contextlib
 import random
@@ -21,7 +21,7 @@
 _LENGTH = struct.Struct('>I')
 
 
-def _open(context, *names, **sections):
+def _open_ends(context, *names, **sections):
     context.link_stack = contextlib.ExitStack()
     context.add_cleanup(context.link_stack.close)
     context.link_ends = {
@@ -32,7 +32,7 @@
 
 def _connect(context, first, second, *, address=''):
     ends = context.link_ends
-    ends[first].know(ends[second], address=address)
+    ends[first].add_peer(ends[second], address=address)
 
 
 def _build_hello(name):
@@ -66,13 +66,13 @@
 
 @behave.given('linked instances "{first}" and "{second}"')
 def open_pair(context, first, second):
-    _open(context, first, second)
+    _open_ends(context, first, second)
     _connect(context, first, second)
 
 
 @behave.given('linked instances "{first}" and "{second}" behind a forwarder')
 def open_forwarded_pair(context, first, second):
-    _open(context, first, second)
+    _open_ends(context, first, second)
     forwarder = context.link_stack.enter_context(proxy.Proxy())
     address = context.link_ends[second].links.address
     context.link_forwarder = forwarder.listen(address)
@@ -82,30 +82,30 @@
 
 
 @behave.given('another linked instance "{name}" without a forwarder')
-def open_third(context, name):
+def open_direct_instance(context, name):
     end = link_pair.open_end(context.link_stack, name)
     context.link_ends[name] = end
     _connect(context, 'poa-a-1', name)
 
 
-@behave.given('linked instances that close links after 0.3 s of idleness')
+@behave.given('linked instances with a connection idle timeout of 0.3 s')
 def open_idle_pair(context):
-    _open(context, 'poa-a-1', 'poa-b-1', links={'idle_seconds': 0.3})
+    _open_ends(context, 'poa-a-1', 'poa-b-1', links={'idle_seconds': 0.3})
     _connect(context, 'poa-a-1', 'poa-b-1')
 
 
-@behave.given('an instance "{name}" that waits 0.3 s for a Hello')
-def open_impatient(context, name):
-    _open(context, name, links={'hello_seconds': 0.3})
+@behave.given('an instance "{name}" with a Hello timeout of 0.3 s')
+def open_with_hello_timeout(context, name):
+    _open_ends(context, name, links={'hello_seconds': 0.3})
 
 
-@behave.given('"{name}" gives the state {number:d} on each new link')
-def give_state(context, name, number):
-    context.link_ends[name].first = [messages.Probe(number=number)]
+@behave.given('"{name}" sends the state {number:d} on each new connection')
+def set_initial_state(context, name, number):
+    context.link_ends[name].initial_messages = [messages.Probe(number=number)]
 
 
-@behave.given('"{name}" fails over the link message {number:d}')
-def fail_over(context, name, number):
+@behave.given('"{name}" fails to handle the link message {number:d}')
+def set_failing_message(context, name, number):
     context.link_ends[name].fail_on = number
 
 
@@ -113,7 +113,7 @@
 def open_stuck_peer(context, name, sender):
     end = context.link_ends[sender]
     end.settings.links._values['lost_seconds'] = 1.0
-    # The server closes a connection whose handler returns.
+    # The server closes a connection when its handler returns.
     never = event.Event()
     stuck = server.StreamServer(('127.0.0.1', 0), lambda sock, _: never.wait())
     stuck.start()
@@ -140,7 +140,7 @@
     for message in (
         messages.Probe(number=1),
         messages.Probe(number=-1),
-        'no message class',
+        'not a registered message class',
         messages.Probe(number=2),
     ):
         assert send('poa-b-1', message)
@@ -154,9 +154,10 @@
 @behave.when('"{name}" sends "{peer}" link messages until its queue is full')
 def fill_queue(context, name, peer):
     end = context.link_ends[name]
-    # Random text, so that deflating does not keep the buffers from filling.
-    source = random.Random(1)
-    address = source.randbytes(2000).hex()
+    # Random text, so that compression does not keep the socket buffers from
+    # filling.
+    rng = random.Random(1)
+    address = rng.randbytes(2000).hex()
     news = messages.News(
         name='x',
         incarnation=1,
@@ -167,63 +168,68 @@
     )
     message = messages.Probe(number=1, news=[news] * 8)
     for _ in range(200000):
-        news.address = source.randbytes(2000).hex()
+        news.address = rng.randbytes(2000).hex()
         if not end.links.send(peer, message):
             return
         gevent.sleep(0)
-    raise AssertionError('the queue never filled')
+    raise AssertionError('the queue did not fill up')
 
 
 @behave.when("the link's forwarder resets every connection")
-def reset_all(context):
+def reset_connections(context):
     link_pair.wait_for(
-        lambda: len(context.link_ends['poa-b-1'].got) >= 4, 'messages'
+        lambda: len(context.link_ends['poa-b-1'].received) >= 4,
+        'the messages to be received',
     )
     context.link_forwarder.cut()
 
 
 @behave.when("the link's forwarder refuses connections")
-def refuse(context):
+def refuse_connections(context):
     context.link_forwarder.refuse()
 
 
 @behave.when("the link's forwarder accepts connections again")
-def accept(context):
+def accept_connections(context):
     context.link_forwarder.accept()
 
 
 @behave.when("the link's forwarder passes {count:d} bytes a second")
-def throttle(context, count):
+def limit_throughput(context, count):
     context.link_forwarder.up.bytes_per_second = count
 
 
-@behave.when('two raw links to "{name}" say Hello as "{sender}"')
-def say_hello_twice(context, name, sender):
-    context.raw_links = []
+@behave.when('two raw connections to "{name}" send a Hello as "{sender}"')
+def send_hello_twice(context, name, sender):
+    context.raw_connections = []
     end = context.link_ends[name]
     for count in (1, 2):
         sock = _dial_raw(context, name)
         deflater = frames.Deflater()
         hello = codec.encode([_build_hello(sender)])
         sock.sendall(deflater.pack(hello))
-        context.raw_links.append((sock, deflater))
-        link_pair.wait_for(lambda: len(end.got) == count, 'a Hello')
-
-
-@behave.when('a raw link sends "{garbage}" to "{name}"')
-def send_garbage(context, garbage, name):
-    context.raw_link = _dial_raw(context, name)
-    context.raw_link.sendall(_GARBAGE[garbage]())
-    # Only a cut ends the connection: all else must be refused unprompted.
+        context.raw_connections.append((sock, deflater))
+        link_pair.wait_for(
+            lambda: len(end.received) == count, 'a Hello to be received'
+        )
+
+
+@behave.when('a raw connection sends "{garbage}" to "{name}"')
+def send_invalid_input(context, garbage, name):
+    context.raw_connection = _dial_raw(context, name)
+    context.raw_connection.sendall(_INVALID_INPUT[garbage]())
+    # Only an incomplete frame needs an end of stream to be detected; the
+    # instance must reject all other input while the connection is open.
     if garbage == 'a frame cut short':
-        context.raw_link.shutdown(socket.SHUT_WR)
+        context.raw_connection.shutdown(socket.SHUT_WR)
 
 
 @behave.when(
-    '{count:d} raw links to "{name}" each say Hello and send a damaged batch'
+    '{count:d} raw connections to "{name}" each send a Hello and a damaged'
+    ' batch'
 )
 def send_damaged(context, count, name):
-    source = random.Random(1)
+    rng = random.Random(1)
     probe = codec.encode([messages.Probe(number=1)])
     for index in range(count):
         sock = _dial_raw(context, name)
@@ -231,12 +237,14 @@
         hello = codec.encode([_build_hello(f'peer-{index}')])
         sock.sendall(deflater.pack(hello))
         frame = bytearray(deflater.pack(probe))
-        frame[source.randrange(4, len(frame))] ^= 1 << source.randrange(8)
+        frame[rng.randrange(4, len(frame))] ^= 1 << rng.randrange(8)
         sock.sendall(frame)
         assert _is_closed(sock)
 
 
-@behave.when('a raw link to "{name}" sends an unknown kind between 1 and 2')
+@behave.when(
+    'a raw connection to "{name}" sends an unknown kind between 1 and 2'
+)
 def send_unknown_kind(context, name):
     sock = _dial_raw(context, name)
     deflater = frames.Deflater()
@@ -244,24 +252,30 @@
     batch = bytearray(
         codec.encode([messages.Probe(number=n) for n in (1, 9, 2)])
     )
-    # Each message is a word with its tag, then one pointer; the first
-    # follows the segment table, the root and the list's tag word.
+    # Each message is one word with its tag, then one pointer (16 bytes). The
+    # first message follows the segment table, the root pointer, the list
+    # pointer and the list's tag word (8 bytes each).
     second = 8 + 8 + 8 + 8 + 16
     assert batch[second : second + 2] == struct.pack('<H', 1)
     batch[second : second + 2] = struct.pack('<H', 60000)
     sock.sendall(deflater.pack(hello) + deflater.pack(bytes(batch)))
 
 
-@behave.when('a raw link sends nothing to "{name}"')
+@behave.when('a raw connection sends nothing to "{name}"')
 def send_nothing(context, name):
-    context.raw_link = _dial_raw(context, name)
+    context.raw_connection = _dial_raw(context, name)
 
 
-@behave.when('the link to "{name}" has been closed for idleness')
+@behave.when('the connection to "{name}" has been closed as idle')
 def wait_idle(context, name):
     end = context.link_ends[name]
-    link_pair.wait_for(lambda: len(end.got) == 2, 'the first message')
-    link_pair.wait_for(lambda: not end.links._incoming, 'an idle close')
+    link_pair.wait_for(
+        lambda: len(end.received) == 2, 'the first message to be received'
+    )
+    link_pair.wait_for(
+        lambda: not end.links._incoming_sockets,
+        'the idle connection to be closed',
+    )
 
 
 @behave.then(
@@ -272,10 +286,11 @@
     end = context.link_ends[name]
     expected = [0, *range(first, last + 1)]
     link_pair.wait_for(
-        lambda: len(end.read_numbers('poa-a-1')) >= len(expected), 'messages'
+        lambda: len(end.read_numbers('poa-a-1')) >= len(expected),
+        'the messages to be received',
     )
     assert end.read_numbers('poa-a-1') == expected
-    assert isinstance(end.got[0][1], messages.Hello)
+    assert isinstance(end.received[0][1], messages.Hello)
 
 
 @behave.then(
@@ -285,7 +300,10 @@
 def check_own(context, name, first, last):
     end = context.link_ends[name]
     expected = list(range(first, last + 1))
-    link_pair.wait_for(lambda: len(end.got) >= len(expected), 'messages')
+    link_pair.wait_for(
+        lambda: len(end.received) >= len(expected),
+        'the messages to be received',
+    )
     assert end.read_numbers(name) == expected
     assert end.metrics.read('control_bytes', 'Probe') == 0
 
@@ -305,14 +323,19 @@
 def check_state_again(context, name, number):
     end = context.link_ends[name]
     expected = [0, number, 1, 2, 3, 0, number]
-    link_pair.wait_for(lambda: len(end.got) >= len(expected), 'state again')
+    link_pair.wait_for(
+        lambda: len(end.received) >= len(expected),
+        'the state to be sent again',
+    )
     assert end.read_numbers('poa-a-1') == expected
 
 
 @behave.then('link end "{name}" receives a Hello followed by state {number:d}')
 def check_state(context, name, number):
     end = context.link_ends[name]
-    link_pair.wait_for(lambda: len(end.got) >= 2, 'the state')
+    link_pair.wait_for(
+        lambda: len(end.received) >= 2, 'the state to be received'
+    )
     assert end.read_numbers('poa-a-1') == [0, number]
 
 
@@ -322,72 +345,90 @@
 def check_drops(context, name, count, reason):
     read = context.link_ends[name].metrics.read
     link_pair.wait_for(
-        lambda: read('dropped_messages', reason) == count, 'drops counted'
+        lambda: read('dropped_messages', reason) == count,
+        'the dropped messages to be counted',
     )
 
 
-@behave.then('the first raw link is closed and only the second one is read')
+@behave.then(
+    'the first raw connection is closed and only the second one is read'
+)
 def check_replaced(context):
-    (old, old_deflater), (new, new_deflater) = context.raw_links
+    (old, old_deflater), (new, new_deflater) = context.raw_connections
     end = context.link_ends['poa-b-1']
     assert _is_closed(old)
     probe = codec.encode([messages.Probe(number=5)])
     with contextlib.suppress(OSError):
         old.sendall(old_deflater.pack(probe))
     new.sendall(new_deflater.pack(probe))
-    link_pair.wait_for(lambda: len(end.got) >= 3, 'the second link')
+    link_pair.wait_for(
+        lambda: len(end.received) >= 3, 'the second connection to be read'
+    )
     assert end.read_numbers('poa-c-1') == [0, 0, 5]
 
 
-@behave.then('"{name}" closes the raw link')
+@behave.then('"{name}" closes the raw connection')
 def check_closed(context, name):
-    assert _is_closed(context.raw_link)
+    assert _is_closed(context.raw_connection)
 
 
-@behave.then('"{name}" closes the raw link and counts it as invalid')
+@behave.then('"{name}" closes the raw connection and counts it as invalid')
 def check_invalid(context, name):
-    assert _is_closed(context.raw_link)
+    assert _is_closed(context.raw_connection)
     read = context.link_ends[name].metrics.read
     assert read('dropped_messages', 'invalid') == 1
 
 
-@behave.then('"{name}" counts {count:d} links as invalid')
+@behave.then('"{name}" counts {count:d} connections as invalid')
 def check_damaged(context, name, count):
     end = context.link_ends[name]
     assert end.metrics.read('dropped_messages', 'invalid') == count
-    assert all(isinstance(got, messages.Hello) for _, got in end.got)
+    assert all(
+        isinstance(message, messages.Hello) for _, message in end.received
+    )
 
 
 @behave.then('link end "{name}" receives 1 and 2 from the newer release')
 def check_newer(context, name):
     end = context.link_ends[name]
-    link_pair.wait_for(lambda: len(end.got) >= 3, 'the known messages')
+    link_pair.wait_for(
+        lambda: len(end.received) >= 3, 'the known messages to be received'
+    )
     assert end.read_numbers('poa-c-1') == [0, 1, 2]
 
 
-@behave.then('the links of "{name}" in time give up the link to "{peer}"')
-def check_given_up(context, name, peer):
+@behave.then(
+    'the links of "{name}" eventually close the connection to "{peer}"'
+)
+def check_stuck_connection_closed(context, name, peer):
     read = context.link_ends[name].metrics.read
     assert read('dropped_messages', 'queue_full') >= 1
     link_pair.wait_for(
         lambda: read('dropped_messages', 'connection_lost') >= 1,
-        'the stuck link given up',
+        'the connection to the stuck peer to be closed',
     )
 
 
 @behave.then(
     'link end "{fast}" has all {count:d} before link end "{slow}" does'
 )
-def check_fast_first(context, fast, slow, count):
+def check_fast_link_first(context, fast, slow, count):
     end = context.link_ends[fast]
-    link_pair.wait_for(lambda: len(end.got) == count + 1, 'the fast link')
-    assert len(context.link_ends[slow].got) < count + 1
+    link_pair.wait_for(
+        lambda: len(end.received) == count + 1,
+        'all messages to be received over the fast link',
+    )
+    assert len(context.link_ends[slow].received) < count + 1
 
 
-@behave.then('link end "{name}" receives all but 2 and counts one failure')
+@behave.then(
+    'link end "{name}" receives all messages but 2 and counts one failure'
+)
 def check_failure(context, name):
     end = context.link_ends[name]
-    link_pair.wait_for(lambda: len(end.got) >= 3, 'the other messages')
+    link_pair.wait_for(
+        lambda: len(end.received) >= 3, 'the other messages to be received'
+    )
     assert end.read_numbers('poa-a-1') == [0, 1, 3]
     assert end.metrics.read('dropped_messages', 'receive_failed') == 1
 
@@ -396,52 +437,55 @@
 def check_numbers(context, name, numbers):
     end = context.link_ends[name]
     expected = [int(number) for number in numbers.split(',')]
-    link_pair.wait_for(lambda: len(end.got) >= len(expected), 'messages')
+    link_pair.wait_for(
+        lambda: len(end.received) >= len(expected),
+        'the messages to be received',
+    )
     assert end.read_numbers('poa-a-1') == expected
 
 
-def _build_request():
+def _build_http_request():
     return b'GET / HTTP/1.1\r\nHost: x\r\n\r\n'
 
 
-def _build_random():
+def _build_random_frame():
     body = random.Random(1).randbytes(500)
     return _LENGTH.pack(len(body)) + body
 
 
-def _build_bomb():
-    # From a peer that knows the secret: its digest is right, and but for
-    # its length it is a good batch.
+def _build_deflate_bomb():
+    # As sent by a peer that knows the secret: the digest is correct, and the
+    # batch is valid except for its length.
     stream = zlib.compressobj(9, zlib.DEFLATED, -11)
     hello = codec.encode([_build_hello('poa-c-1')])
     body = stream.compress(hello + bytes(1 << 26))
     body += stream.flush(zlib.Z_SYNC_FLUSH)
-    signed = frames._Digest('').compute(body) + body
-    return _LENGTH.pack(len(signed)) + signed
+    digest_and_body = frames._FrameDigester('').compute(body) + body
+    return _LENGTH.pack(len(digest_and_body)) + digest_and_body
 
 
-def _build_twice():
+def _build_repeated_frame():
     hello = frames.Deflater().pack(codec.encode([_build_hello('poa-c-1')]))
     return hello + hello
 
 
-def _build_foreign():
+def _build_foreign_frame():
     hello = codec.encode([_build_hello('poa-c-1')])
     return frames.Deflater('another secret').pack(hello)
 
 
-def _build_probe():
+def _build_probe_frame():
     batch = codec.encode([messages.Probe(number=1)])
     return frames.Deflater().pack(batch)
 
 
-_GARBAGE = {
-    'an HTTP request': _build_request,
+_INVALID_INPUT = {
+    'an HTTP request': _build_http_request,
     'a length of 4 GiB': lambda: b'\xff\xff\xff\xff' + bytes(100),
-    'a frame cut short': lambda: _build_probe()[:-3],
-    'random bytes in frames': _build_random,
-    'a deflate bomb': _build_bomb,
-    'a frame sent twice': _build_twice,
-    "another fleet's frames": _build_foreign,
-    'no Hello first': _build_probe,
+    'a frame cut short': lambda: _build_probe_frame()[:-3],
+    'random bytes in frames': _build_random_frame,
+    'a deflate bomb': _build_deflate_bomb,
+    'a frame sent twice': _build_repeated_frame,
+    "another fleet's frames": _build_foreign_frame,
+    'no Hello first': _build_probe_frame,
 }
--- a/tests/support/link_pair.py
+++ b/tests/support/link_pair.py
@@ -1,4 +1,4 @@
-"""Instances' links on loopback, with what they received."""
+"""Links of instances on loopback, with a record of received messages."""
 
 import contextlib
 import typing
@@ -10,23 +10,23 @@
 from amaranthslip import metrics
 from tests.support import member_settings
 
-_PATIENCE_SECONDS = 30.0
+_WAIT_TIMEOUT_SECONDS = 30.0
 
 
-def wait_for(condition: typing.Callable[[], object], what: str) -> None:
-    """Wait until a condition holds; fail with what was awaited."""
-    with gevent.Timeout(_PATIENCE_SECONDS, AssertionError(what)):
+def wait_for(condition: typing.Callable[[], object], awaited: str) -> None:
+    """Wait until a condition holds; on a timeout, fail with `awaited`."""
+    with gevent.Timeout(_WAIT_TIMEOUT_SECONDS, AssertionError(awaited)):
         while not condition():
             gevent.sleep(0.01)
 
 
 class LinkEnd:
-    """One instance's links, and a record of what came in."""
+    """Links of one instance, with a record of received messages."""
 
     def __init__(self, name: str, **sections: dict[str, typing.Any]) -> None:
         self.name = name
-        self.got: list[tuple[str, object]] = []
-        self.first: list[object] = []
+        self.received: list[tuple[str, object]] = []
+        self.initial_messages: list[object] = []
         self.fail_on: int | None = None
         self.metrics = metrics.Metrics()
         self.settings = member_settings.build(name, **sections)
@@ -42,24 +42,24 @@
             self.metrics,
             self.member,
             self._receive,
-            on_connect=lambda peer: list(self.first),
+            on_connect=lambda peer: list(self.initial_messages),
         )
         self.links.start()
 
     def _receive(self, sender: str, message: object) -> None:
         if getattr(message, 'number', None) == self.fail_on is not None:
-            raise RuntimeError('a part fails over this message')
-        self.got.append((sender, message))
+            raise RuntimeError('the message handler fails on this message')
+        self.received.append((sender, message))
 
     def read_numbers(self, sender: str) -> list[int]:
-        """Return the numbers received from a sender; 0 for each Hello."""
+        """Return the message numbers from a sender, with 0 for each Hello."""
         return [
             getattr(message, 'number', 0)
-            for name, message in self.got
+            for name, message in self.received
             if name == sender
         ]
 
-    def know(self, other: 'LinkEnd', *, address: str = '') -> None:
+    def add_peer(self, other: 'LinkEnd', *, address: str = '') -> None:
         self.links.set_address(other.name, address or other.links.address)
 
 
