--- a/src/amaranthslip/platform/__init__.py
+++ b/src/amaranthslip/platform/__init__.py
@@ -1,1 +1,4 @@
-"""Platform: the users' names, formats and calls, and nothing that decides."""
+"""Adapters for the platform's names, formats and calls.
+
+No module in this package makes a routing decision.
+"""
--- a/src/amaranthslip/platform/backends.py
+++ b/src/amaranthslip/platform/backends.py
@@ -1,4 +1,4 @@
-"""Decodes the entries by which backend servers register themselves."""
+"""Decodes the registration entries of backend servers."""
 
 import json
 import re
@@ -6,22 +6,22 @@
 
 from amaranthslip.configuration import document
 
-# Each backend server's entry stands below this, under its name.
+# The key of a backend server's entry is this prefix and the server's name.
 PREFIX = 'servers/'
 
 _ADDRESS = re.compile(r'[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}')
-_LEAVING = 'draining'
-_STATES = ('ready', _LEAVING)
+_DRAINING = 'draining'
+_STATES = ('ready', _DRAINING)
 
 
 def read_backend_server(
     key: str, value: bytes
 ) -> document.ListedServer | None:
-    """Return the backend server of an entry.
+    """Return the backend server that an entry describes.
 
-    None where the entry names none that can be used: another writer's, a
-    state that isn't known, fields that are missing or of another type. The
-    other entries hold all the same.
+    Returns None for an entry that cannot be used: an entry in another
+    format, an unknown state, or fields that are missing or of another type.
+    Such an entry does not affect the other entries.
     """
     try:
         values = json.loads(value)
@@ -49,9 +49,10 @@
         address=address,
         failure_domain=values['zone'],
         slots=slots,
-        leaving=state == _LEAVING,
-        # The Unix millisecond of its start: a server that comes back under
-        # its name has forgotten its cache, and counts from nothing.
+        leaving=state == _DRAINING,
+        # The server's start time in Unix milliseconds. A server that
+        # restarts under the same name has lost its cache and its running
+        # requests.
         incarnation=started,
     )
 
--- a/src/amaranthslip/platform/configurations.py
+++ b/src/amaranthslip/platform/configurations.py
@@ -1,6 +1,6 @@
-"""Decodes the configuration that the platform's operator keeps.
+"""Decodes the configuration that the platform's operator maintains.
 
-The operator's names are met here and nowhere else; what comes out is the
+Only this module uses the operator's field names. It converts them into the
 project's own document.
 """
 
@@ -12,33 +12,34 @@
 from amaranthslip.configuration import routes
 from amaranthslip import errors
 
-# Where the operator keeps the newest version, whole.
+# The key that holds the operator's complete latest version.
 KEY = 'op/config'
 
 _KINDS = {
     'idempotent': routes.RouteKind.IDEMPOTENT,
     'non_idempotent': routes.RouteKind.NON_IDEMPOTENT,
-    # The operator's word for an answer that is a series of events. Whether
-    # it may run again is said by `resumable` alone.
+    # An event stream. Only `resumable` states whether such a request may run
+    # again.
     'streaming': routes.RouteKind.STREAM,
 }
 
 
 def read_document(value: bytes) -> document.Document:
-    """Return the document in a stored value.
+    """Return the document that a stored value encodes.
 
     Raises
     ------
     ConfigurationDamaged
-        It can't be read; the version in force stays.
+        The value can't be decoded. The version in force remains valid.
     """
     try:
         values = json.loads(value)
         return _read_document(values)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise errors.ConfigurationDamaged(
-            f"the operator's configuration can not be read ({error!r}); the"
-            ' version in force stays until the operator writes another'
+            f"the operator's configuration can't be decoded ({error!r}); the"
+            ' current version stays in force until the operator writes a'
+            ' valid one'
         ) from None
 
 
@@ -59,7 +60,7 @@
 
 
 def _read_service(values: dict[str, typing.Any]) -> document.OperatedService:
-    # Only model services say anything of an engine.
+    # Only model services have an `engine` table.
     engine = values.get('engine')
     return document.OperatedService(
         name=str(values['name']),
@@ -68,7 +69,7 @@
             if engine is None
             else document.ServiceKind.MODEL
         ),
-        # The tokens of running requests and of cached prompts together.
+        # The capacity is shared by running requests and cached prompts.
         cache_tokens=int((engine or {}).get('kv_capacity') or 0),
     )
 
@@ -84,16 +85,16 @@
 
 
 def hash_key(key: str) -> str:
-    """Return a bearer key as documents hold it.
+    """Return the hash that a document stores for a bearer key.
 
-    Hashed as it is decoded, so that no key stands in memory dumps, status
-    pages or logs.
+    Keys are hashed during decoding, so that no memory dump, status page or
+    log contains a key in plain text.
     """
     return 'sha256:' + hashlib.sha256(key.encode('utf-8')).hexdigest()
 
 
 def _read_route(values: dict[str, typing.Any]) -> routes.Route:
-    # One of two forms: a single service, or several with weights.
+    # A route names either a single service or several weighted services.
     split = values.get('traffic_split') or [
         {'service': values.get('service'), 'weight': 1}
     ]
@@ -113,8 +114,8 @@
         timeout_seconds=timeout_seconds,
         objective_seconds=objective / 1000,
         gap_seconds=float(values.get('target_gap_ms') or 0.0) / 1000,
-        # Their word counts engines, the first among them; a rejected try
-        # has not run and is not counted here.
+        # `max_attempts` is the number of engines that may run the request,
+        # including the first. A rejected try did not run and is not counted.
         most_runs=max(1, int(values.get('max_attempts') or 1)),
         public=bool(values.get('public', False)),
         resumable=bool(values.get('resumable', False)),
--- a/src/amaranthslip/platform/connections.py
+++ b/src/amaranthslip/platform/connections.py
@@ -1,4 +1,4 @@
-"""Pooled HTTP connections to one address of the platform's services."""
+"""Pooled HTTP connections to one of the platform's services."""
 
 import contextlib
 
@@ -11,21 +11,22 @@
 
 from amaranthslip import errors
 
-# Calls at once; more wait inside their own time limit. A dispatcher of 720
-# makes a few calls a second, each of some milliseconds.
-_CONCURRENCY = 16
-# The library's own limit, for each receive: longer than any call, as the
-# limit of the whole call is kept here.
-_MOST_SECONDS = 600.0
+# Further calls wait for a free connection within their time limit. In a fleet
+# of 720 dispatchers, each makes a few calls a second that take a few
+# milliseconds.
+_MAX_CONCURRENT_CALLS = 16
+# The library's timeout of each receive. It exceeds the duration of any call,
+# because this module limits the whole call instead.
+_SOCKET_TIMEOUT_SECONDS = 600.0
 _HEADERS = {'Content-Type': 'application/json'}
 
-# What a call that broke raises: the library's parse errors for an answer
-# that ended early, OSError for the socket's.
-BROKEN = (OSError, response.HTTPParseError)
+# Errors of a broken connection: the library's parse errors for a truncated
+# answer, and OSError for socket errors.
+CONNECTION_ERRORS = (OSError, response.HTTPParseError)
 
 
 class Answer:
-    """An HTTP answer that arrived whole."""
+    """A complete HTTP answer."""
 
     __slots__ = ('status', 'body')
 
@@ -34,40 +35,41 @@
         self.body = body
 
 
-class NeverSent(errors.AmaranthslipError):
-    """No connection was had, so that no byte of the call has left."""
+class RequestNotSent(errors.AmaranthslipError):
+    """No connection could be made, so no byte of the request was sent."""
 
 
-class MaybeSent(errors.AmaranthslipError):
-    """The connection broke, or time ran out, with the call on its way."""
+class RequestMaybeSent(errors.AmaranthslipError):
+    """The call failed or timed out after it began to send its request."""
 
 
 class _CallTimeout(gevent.Timeout):
-    """The limit of one call is over."""
+    """The time limit of one call expired."""
 
 
-class Connections:
-    """Keeps idle connections; each call has one for itself.
+class ConnectionPool:
+    """Keeps idle connections; each call uses one exclusively.
 
-    One library client of one connection is used for each call, not one with
-    a pool: where a time limit ends a call in the midst of sending, that
-    pool would never get its place back. Here the client is thrown away.
+    Each call uses a library client with a single connection instead of the
+    library's connection pool. A timeout during a send would permanently
+    occupy a slot of that pool. Here the client is discarded.
 
     Parameters
     ----------
     address : str
-        An http or https URL; its path is put before each call's.
+        An http or https URL, whose path is prepended to the path of each
+        call.
     timeout_seconds : float
-        Limit of one call from beginning to end.
+        Time limit of a whole call.
     """
 
-    __slots__ = ('_url', '_base', '_timeout', '_places', '_idle')
+    __slots__ = ('_url', '_base', '_timeout', '_call_slots', '_idle')
 
     def __init__(self, address: str, *, timeout_seconds: float) -> None:
         self._url = url.URL(address)
         self._base = self._url.request_uri.rstrip('/')
         self._timeout = timeout_seconds
-        self._places = lock.BoundedSemaphore(_CONCURRENCY)
+        self._call_slots = lock.BoundedSemaphore(_MAX_CONCURRENT_CALLS)
         self._idle: list[geventhttpclient.HTTPClient] = []
 
     def call(
@@ -78,23 +80,23 @@
         *,
         wait_seconds: float = 0.0,
     ) -> Answer:
-        """Make one call and read its answer whole.
+        """Make one call and read its complete answer.
 
         Parameters
         ----------
         wait_seconds : float
-            How long the service was asked to hold its answer back; it has
-            the limit of a call on top.
+            How long the service may delay its answer. This is added to the
+            time limit of the call.
 
         Raises
         ------
-        NeverSent
-            The service surely knows nothing of the call.
-        MaybeSent
-            It may know of it.
+        RequestNotSent
+            The service did not receive the request.
+        RequestMaybeSent
+            The service may have received the request.
         """
-        # A class of its own, so that a limit that the caller set around this
-        # call is not taken for this one and passes through.
+        # A separate class distinguishes this timeout from one that the caller
+        # started, which must propagate.
         seconds = self._timeout + wait_seconds
         limit = _CallTimeout(seconds)
         with contextlib.ExitStack() as stack:
@@ -103,42 +105,42 @@
             client = self._connect(stack)
             try:
                 answer = client.request(method, self._base + path, body)
-                whole = Answer(answer.status_code, bytes(answer.read()))
-            except (*BROKEN, _CallTimeout) as error:
+                complete = Answer(answer.status_code, bytes(answer.read()))
+            except (*CONNECTION_ERRORS, _CallTimeout) as error:
                 client.close()
-                raise MaybeSent(_describe(error, seconds)) from None
+                raise RequestMaybeSent(_describe(error, seconds)) from None
             except BaseException:
                 client.close()
                 raise
             self._idle.append(client)
-            return whole
+            return complete
 
     def _connect(
         self, stack: contextlib.ExitStack
     ) -> geventhttpclient.HTTPClient:
         client = None
         try:
-            self._places.acquire()
-            stack.callback(self._places.release)
-            client = self._idle.pop() if self._idle else self._open()
+            self._call_slots.acquire()
+            stack.callback(self._call_slots.release)
+            client = self._idle.pop() if self._idle else self._create_client()
             _connect(client)
-        except (*BROKEN, _CallTimeout) as error:
+        except (*CONNECTION_ERRORS, _CallTimeout) as error:
             if client is not None:
                 client.close()
-            raise NeverSent(_describe(error, self._timeout)) from None
+            raise RequestNotSent(_describe(error, self._timeout)) from None
         return client
 
-    def _open(self) -> geventhttpclient.HTTPClient:
+    def _create_client(self) -> geventhttpclient.HTTPClient:
         client = geventhttpclient.HTTPClient.from_url(
             self._url,
             headers=_HEADERS,
             concurrency=1,
             connection_timeout=self._timeout,
-            network_timeout=_MOST_SECONDS,
+            network_timeout=_SOCKET_TIMEOUT_SECONDS,
         )
-        # The library repeats a GET by itself when its connection breaks, as
-        # often as this number says, plus one. A watch that was cut would
-        # then go on unseen, and each call be counted for two.
+        # The library retries a GET whose connection breaks this number of
+        # times, plus one. Without this setting it would hide an interrupted
+        # watch, and two calls would be counted as one.
         client._connection_pool.size = -1
         return client
 
@@ -149,11 +151,11 @@
 
 
 def _connect(client: geventhttpclient.HTTPClient) -> None:
-    """Connect before the request is made.
+    """Connect before the request is sent.
 
-    What fails here has surely had no effect, which the errors of the
-    library's `request` do not tell from a failure after it was sent. A
-    pooled connection that the service has closed is seen and replaced here.
+    A failure here has had no effect at the service. The errors of the
+    library's `request` do not distinguish failures before and after sending.
+    A pooled connection that the service has closed is also replaced here.
     """
     pool = client._connection_pool
     pool.return_socket(pool.get_socket())
--- a/src/amaranthslip/platform/headers.py
+++ b/src/amaranthslip/platform/headers.py
@@ -1,14 +1,14 @@
 """The platform's HTTP headers, decoded from requests and answers.
 
-Names on the wire stand here only. Callers' requests come as WSGI
-environments, in which header names are in capitals.
+Only this module uses the platform's header names. A caller's request is a
+WSGI environment, in which header names are in upper case.
 """
 
 import typing
 
 from amaranthslip.requests import prompts
 
-# The id of one attempt of a client at a request; engines echo it.
+# Identifies one attempt of a client at a request. Engines return it.
 ATTEMPT_ID = 'Amaranthslip-Attempt-Id'
 _DEADLINE = 'Amaranthslip-Deadline-Ms'
 _EXPECTED_SERVER = 'Amaranthslip-Expect-Instance'
@@ -23,8 +23,9 @@
 _MISDIRECTED = 421
 _SERVICE_UNAVAILABLE = 503
 
-# Headers that only this system may set: a caller's own would let it name its
-# account, reserve an engine's memory, or read another request's.
+# Headers that only this system may set. Otherwise a caller could choose its
+# client account, reserve an engine's memory, or read another request's
+# memory.
 SYSTEM_ONLY = frozenset(
     (
         'amaranthslip-attempt-id',
@@ -51,18 +52,19 @@
 
 
 class RequestFacts:
-    """What the headers of a caller's request say.
+    """Values decoded from the headers of a caller's request.
 
     Parameters
     ----------
     attempt_id : str
-        Empty where it is missing.
+        Empty if the header is missing.
     wait_seconds : float or None
         How long the caller waits for the answer.
     prompt : Prompt or None
-        Of a model's request.
+        The prompt's size and prefixes; None if no model is named.
     resume_after : int
-        The last event that the caller has of a stream; 0: none.
+        Number of the last stream event that the caller has received; 0 if
+        none.
     """
 
     __slots__ = ('attempt_id', 'wait_seconds', 'prompt', 'resume_after')
@@ -82,16 +84,17 @@
 
 
 class AnswerFacts:
-    """What the headers of a backend server's answer say.
+    """Values decoded from the headers of a backend server's answer.
 
     Parameters
     ----------
     sealed : bool
-        Whether the server signed it, so that it is the server's own.
+        Whether the answer carries the server's signature, which shows that
+        the backend server itself generated the answer.
     not_run : bool
-        Whether it says that the request was not run.
+        Whether the answer reports that the request was not run.
     encoded : bool
-        Whether the body is encoded, which no server's own body is.
+        Whether the body is encoded. Backend servers never encode a body.
     leaving : bool
         Whether the expected server reports that it is leaving.
     retry_after : float or None
@@ -118,17 +121,19 @@
 
 
 def read_attempt_id(environ: Environ) -> str:
-    """Return the id of a caller's attempt, or ''."""
+    """Return the id of a caller's attempt, or an empty string."""
     return environ.get('HTTP_AMARANTHSLIP_ATTEMPT_ID', '')
 
 
 def read_request(environ: Environ) -> RequestFacts:
-    """Decode a request's headers; what can't be read counts as missing."""
-    waits = _read_number(environ.get('HTTP_AMARANTHSLIP_DEADLINE_MS', ''))
+    """Decode a request's headers; invalid values count as missing."""
+    deadline_ms = _read_number(
+        environ.get('HTTP_AMARANTHSLIP_DEADLINE_MS', '')
+    )
     resume = _read_number(environ.get('HTTP_LAST_EVENT_ID', ''))
     return RequestFacts(
         attempt_id=read_attempt_id(environ),
-        wait_seconds=None if waits is None else waits / 1000,
+        wait_seconds=None if deadline_ms is None else deadline_ms / 1000,
         prompt=_read_prompt(environ),
         resume_after=int(resume or 0),
     )
@@ -138,18 +143,18 @@
     model = environ.get('HTTP_AMARANTHSLIP_MODEL')
     if model is None:
         return None
-    # Tokens of the whole prompt, and the most that may be generated.
+    # The prompt's token count, and the maximum of generated tokens.
     usage = environ.get('HTTP_AMARANTHSLIP_TOKEN_USAGE', '').split(',')
-    read = _read_number(usage[0]) or 0
-    most = _read_number(usage[1]) if len(usage) > 1 else 0
+    prompt_token_count = _read_number(usage[0]) or 0
+    max_token_count = _read_number(usage[1]) if len(usage) > 1 else 0
     hint = _read_number(environ.get('HTTP_AMARANTHSLIP_LENGTH_HINT', ''))
     return prompts.Prompt(
         model=model,
         parts=list(
             _read_parts(environ.get('HTTP_AMARANTHSLIP_PROMPT_PREFIX', ''))
         ),
-        prompt_tokens=int(read),
-        most_tokens=int(most or 0),
+        prompt_tokens=int(prompt_token_count),
+        most_tokens=int(max_token_count or 0),
         hinted_tokens=None if hint is None else int(hint),
     )
 
@@ -164,7 +169,7 @@
 
 def _read_number(text: str) -> float | None:
     text = text.strip()
-    # No float(): it takes 'nan' and 'inf'.
+    # float() alone would accept 'nan' and 'inf'.
     if not text.isascii() or not text.replace('.', '', 1).isdigit():
         return None
     return float(text)
@@ -177,10 +182,10 @@
     seconds_left: float,
     resume_after: int,
 ) -> Pairs:
-    """Return the headers that the system sets for one try.
+    """Return the headers that this system sets for one try.
 
-    The server's name makes another server at its address refuse the
-    request; the deadline is what is left of it.
+    The server name lets a different server at the same address refuse the
+    request. The deadline is the time left for the request.
     """
     pairs = [
         (_DEADLINE, str(max(1, int(seconds_left * 1000)))),
@@ -196,7 +201,7 @@
 def read_answer(
     status: int, pairs: typing.Iterable[tuple[str, str]]
 ) -> AnswerFacts:
-    """Decode an answer's headers."""
+    """Decode the headers of a backend server's answer."""
     values = {name.lower(): value for name, value in pairs}
     retry_after = None
     if status == _SERVICE_UNAVAILABLE:
@@ -212,7 +217,7 @@
 
 
 def strip_internal(pairs: typing.Iterable[tuple[str, str]]) -> Pairs:
-    """Return an answer's headers without what only tells of the server."""
+    """Return an answer's headers without the server's load report."""
     return [each for each in pairs if each[0].lower() != _LOAD]
 
 
@@ -220,7 +225,7 @@
     """Return an answer's headers without those tied to its original status.
 
     For an answer whose status is replaced. The signature applies only to the
-    server's own status. Retry-After tells this instance when to retry that
+    server's own status. Retry-After states when this instance may retry that
     server; another server may accept the caller's request immediately.
     """
     return [
--- a/src/amaranthslip/platform/instances.py
+++ b/src/amaranthslip/platform/instances.py
@@ -1,9 +1,9 @@
-"""This fleet's instances in the platform's store, as seeds for members.
+"""The fleet's instances in the platform's store, as membership seeds.
 
-Each instance writes an entry under a lease. The lease is long: an entry only
-says where an instance may be found, and the members find out by probing who
-is alive. A lease of a few seconds, renewed by each instance, would cost calls
-for what probing already tells.
+Each instance writes an entry under a lease. The lease is long, because an
+entry only gives an instance's address; members detect by probes which
+instances are alive. A lease of a few seconds, renewed by each instance, would
+cost store calls for information that the probes already provide.
 """
 
 import json
@@ -22,20 +22,21 @@
 _LOG = logging.getLogger(__name__)
 
 _FOLDER = 'instances/'
-# Seconds; the platform allows ten minutes at most. Entries of instances that
-# are gone for good stay that long, and cost those that start one dial each.
+# The platform allows at most ten minutes. The entry of a removed instance
+# remains for this time, and costs each starting instance one failed
+# connection attempt.
 _LEASE_SECONDS = 600.0
-# Renewed three times in its life, so that two failures are survived.
+# Renewals in each lease period, so that a lease survives two failed renewals.
 _RENEWALS = 3
 _RETRY_SECONDS = 1.0
-# Seconds that a new instance waits for the entries to be read before it writes
-# its own: one that starts again finds it there, and a renewal costs the store
-# a twentieth of the two writes.
-_READ_SECONDS = 2.0
+# How long a starting instance waits for the stored entries before it writes
+# its own. A restarted instance then finds its entry, and renewing the lease
+# costs the store a twentieth of the two writes.
+_INITIAL_READ_TIMEOUT_SECONDS = 2.0
 
 
 class ListedInstance:
-    """An instance as its entry has it."""
+    """An instance as described by its entry in the store."""
 
     __slots__ = (
         'name',
@@ -59,13 +60,13 @@
         self.address = address
         self.failure_domain = failure_domain
         self.region = region
-        # Under which the entry stands; 0: none.
+        # The lease of the entry; 0 if the entry has none.
         self.lease = lease
-        # An entry tells nothing of an instance's state.
+        # An entry does not contain the instance's state.
         self.state = members.MemberState.ALIVE
 
-    def describes(self, member: members.Member) -> bool:
-        """Return whether a member is where this entry says."""
+    def matches(self, member: members.Member) -> bool:
+        """Return whether a member has the name and place of this entry."""
         return all(
             getattr(self, name) == getattr(member, name)
             for name in ('name', 'address', 'failure_domain', 'region')
@@ -73,19 +74,19 @@
 
 
 class StoredInstances:
-    """The entries of all instances, and this one's own.
+    """Reads the entries of all instances, and writes that of this instance.
 
     Parameters
     ----------
     settings : Settings
-        `platform.prefix` comes before the keys.
+        Keys start with `platform.prefix`.
     key_value : KeyValue
         The client of the store.
     follows : bool
-        Whether whoever follows the store hands entries over by `replace`
-        and `take`; `read` then makes no call.
+        Whether a follower of the store passes the entries in through
+        `replace` and `take`. `read` then makes no call to the store.
     random : random.Random
-        Jitter of the renewals.
+        Source of the jitter of the renewals.
     """
 
     __slots__ = (
@@ -94,7 +95,7 @@
         '_follows',
         '_listed',
         '_random',
-        '_read',
+        '_entries_loaded',
         '_lease',
     )
 
@@ -110,36 +111,38 @@
         self._key_value = key_value
         self._follows = follows
         self._listed: dict[str, ListedInstance] = {}
-        self._read = event.Event()
+        self._entries_loaded = event.Event()
         self._random = random or random_.Random()
         self._lease = 0
 
     def read(self) -> list[ListedInstance]:
         """Return the instances that are listed now.
 
-        At a start it waits a little for whoever follows the store: asked a
-        moment too early, it would tell of nobody, for a whole interval.
+        With `follows`, waits briefly for the first entries. Without the wait,
+        a call before the first read would return an empty list, and the
+        caller would only read again after a whole interval.
 
         Raises
         ------
         PlatformUnavailable
-            No usable answer: go on with what is known.
+            The store gave no usable answer. The caller should continue with
+            the members that it knows.
         """
         if self._follows:
-            self._read.wait(_READ_SECONDS)
+            self._entries_loaded.wait(_INITIAL_READ_TIMEOUT_SECONDS)
         else:
             self.replace(self._key_value.read_prefix(self.prefix))
         return list(self._listed.values())
 
     def replace(self, entries: typing.Iterable[keyvalue.Entry]) -> None:
-        """Take all entries at once."""
+        """Replace all listed instances by those of `entries`."""
         self._listed.clear()
         for entry in entries:
             self.take(entry)
-        self._read.set()
+        self._entries_loaded.set()
 
     def take(self, entry: keyvalue.Entry) -> None:
-        """Take one entry that changed."""
+        """Apply one entry that was changed or deleted."""
         name = entry.key.removeprefix(self.prefix)
         if entry.value is None:
             self._listed.pop(name, None)
@@ -149,9 +152,9 @@
             self._listed[name] = listed
 
     def keep_listed(self, member: members.Member) -> None:
-        """Write this instance's entry and renew its lease, for ever."""
+        """Write this instance's entry and renew its lease until killed."""
         if self._follows:
-            self._read.wait(_READ_SECONDS)
+            self._entries_loaded.wait(_INITIAL_READ_TIMEOUT_SECONDS)
             self._lease = self._find_lease(member)
         while True:
             try:
@@ -163,9 +166,9 @@
             gevent.sleep(self._random.uniform(0.5, 1.0) * wait)
 
     def _find_lease(self, member: members.Member) -> int:
-        """Return the lease of the entry that is right already, or 0."""
+        """Return the lease of a stored entry that is up to date, or 0."""
         listed = self._listed.get(member.name)
-        if listed is None or not listed.describes(member):
+        if listed is None or not listed.matches(member):
             return 0
         return listed.lease
 
@@ -196,6 +199,7 @@
             lease=entry.lease,
         )
     except (ValueError, KeyError, TypeError):
-        # Another release's form, or another writer's: one seed less.
+        # Written by another release, or not by an instance. Members only
+        # lose one seed.
         _LOG.warning('instance_entry_unreadable', extra={'listed': name})
         return None
--- a/src/amaranthslip/platform/keyvalue.py
+++ b/src/amaranthslip/platform/keyvalue.py
@@ -1,6 +1,6 @@
 """The client of the platform's key-value service, HTTP with JSON bodies.
 
-Keys are whole: callers put `settings.platform.prefix` before their own.
+Keys are absolute: callers prepend `settings.platform.prefix` to their keys.
 """
 
 import base64
@@ -15,13 +15,13 @@
 from amaranthslip.platform import connections
 from amaranthslip import settings
 
-# The platform holds values up to a megabyte.
+# The platform stores values of up to one megabyte.
 MOST_VALUE_BYTES = 1000000
 
-# A watch whose service answers nothing for so long is ended and read anew:
-# it may have stopped silently, which looks like a prefix where nothing
-# changes.
-QUIET_SECONDS = 30.0
+# A watch without an answer from the service for this time is ended, and the
+# prefix is read again. A watch that has stalled without an error would
+# otherwise look like a prefix without changes.
+WATCH_IDLE_TIMEOUT_SECONDS = 30.0
 
 _KEY = '/-/kv-key'
 _RANGE = '/-/kv-range'
@@ -30,8 +30,8 @@
 _LEASE = '/-/kv-lease'
 _RENEWAL = '/-/kv-keep'
 
-# Names of calls in the counters.
-_KINDS = {
+# Values of the `kind` label of the call counters.
+_CALL_KINDS = {
     _KEY: 'read',
     _RANGE: 'range',
     _WATCH: 'watch',
@@ -42,10 +42,10 @@
 
 
 class Entry:
-    """One key's value; `revision` grows with each change of it.
+    """One key's value; `revision` increases with each change of the value.
 
-    A deletion that a watch tells of has `None` for its value. `lease` is
-    the one that the entry ends with; 0: none.
+    A deletion that a watch reports has the value `None`. The service deletes
+    the entry when the lease `lease` ends; 0 means no lease.
     """
 
     __slots__ = ('key', 'value', 'revision', 'lease')
@@ -60,7 +60,7 @@
 
 
 class Entries:
-    """Entries, and the service's revision that they were read at."""
+    """Entries, and the service's revision at which they were read."""
 
     __slots__ = ('entries', 'revision')
 
@@ -70,7 +70,7 @@
 
 
 class _Reply:
-    """One decoded answer."""
+    """The status and the decoded body of one answer."""
 
     __slots__ = ('status', 'values')
 
@@ -80,14 +80,14 @@
 
 
 class KeyValue:
-    """Calls to the key-value service, each bounded in time and counted.
+    """Calls the key-value service; each call is counted and has a time limit.
 
     Parameters
     ----------
     settings_ : Settings
         `platform.key_value` and `platform.timeout_seconds` are used.
     metrics_ : Metrics
-        Where calls and failures are counted by kind.
+        Counts calls by kind and failures by reason.
     """
 
     __slots__ = ('_connections', '_metrics', '_settings')
@@ -97,7 +97,7 @@
     ) -> None:
         self._metrics = metrics_
         self._settings = settings_
-        self._connections = connections.Connections(
+        self._connections = connections.ConnectionPool(
             settings_.platform.key_value,
             timeout_seconds=settings_.platform.timeout_seconds,
         )
@@ -113,7 +113,7 @@
         self._connections.close()
 
     def get(self, key: str) -> Entry | None:
-        """Return one key's entry, or None where there is none.
+        """Return one key's entry, or None if the key does not exist.
 
         Raises
         ------
@@ -124,12 +124,12 @@
 
     def read_key(self, key: str) -> 'KeyRead':
         """Return one key's entry and the service's revision; see `get`."""
-        reply = self._read(_KEY, {'key': key}, absent=True)
+        reply = self._send_read(_KEY, {'key': key}, absent=True)
         entry = _read_entry(reply.values) if reply.status == 200 else None
         return KeyRead(entry, int(reply.values.get('at', 0)))
 
     def read_prefix(self, prefix: str) -> list[Entry]:
-        """Return the entries whose keys begin so, in the keys' order.
+        """Return the entries whose keys have a prefix, in key order.
 
         Raises
         ------
@@ -139,31 +139,33 @@
         return self.read_entries(prefix).entries
 
     def read_entries(self, prefix: str) -> Entries:
-        """Return the entries whose keys begin so, and a revision.
+        """Return the entries whose keys have a prefix, and a revision.
 
-        A long list comes in pages that are no snapshot: the revision is
-        the first page's, so that a watch from there on repeats what changed
-        between the pages, and misses nothing. Raises as `read_prefix` does.
+        The service returns a long list in pages, which are no snapshot. The
+        revision is that of the first page, so that a watch from there repeats
+        the changes between the pages and misses none. Raises the errors of
+        `read_prefix`.
         """
-        reply = self._read(_RANGE, {'prefix': prefix})
+        reply = self._send_read(_RANGE, {'prefix': prefix})
         revision = int(reply.values['at'])
         entries = _read_entries(reply)
         while reply.values.get('has_more') and entries:
             page = {'prefix': prefix, 'after': entries[-1].key}
-            reply = self._read(_RANGE, page)
+            reply = self._send_read(_RANGE, page)
             entries += _read_entries(reply)
         return Entries(entries, revision)
 
     def poll(self, prefix: str, *, after: int, wait_seconds: float) -> Entries:
-        """Return what changed after a revision, waiting for a first change.
+        """Wait for a change after a revision, and return the changes.
 
-        The revision of the result is where to go on; it has no entries
-        where nothing changed for `wait_seconds`.
+        The next call continues after the revision of the result. The result
+        has no entries if nothing changed for `wait_seconds`.
 
         Raises
         ------
         HistoryLost
-            The service no longer knows that far back: read all anew.
+            The service has dropped the changes after this revision; read the
+            whole prefix again.
         PlatformUnavailable
             The service gave no usable answer; try again later.
         """
@@ -172,11 +174,12 @@
             'after': after,
             'wait_ms': int(wait_seconds * 1000),
         }
-        reply = self._read(_WATCH, query, wait_seconds=wait_seconds)
+        reply = self._send_read(_WATCH, query, wait_seconds=wait_seconds)
         if reply.status == 410:
             self._metrics.count('platform_failures', 'history_lost')
             raise errors.HistoryLost(
-                'key-value service: changes were missed; read all anew'
+                'key-value service: the changes after the revision were'
+                ' dropped; read the whole prefix again'
             )
         events = reply.values.get('events', ())
         return Entries(
@@ -189,20 +192,21 @@
         prefix: str,
         *,
         start_revision: int = 0,
-        quiet_seconds: float = QUIET_SECONDS,
+        idle_timeout_seconds: float = WATCH_IDLE_TIMEOUT_SECONDS,
     ) -> typing.Iterator[typing.Iterator[Entry]]:
-        """Watch the keys that begin so, as a context manager.
+        """Watch the keys that have a prefix, as a context manager.
 
-        The iterator blocks for the next change. It ends when the service
-        can't be followed any longer: read the prefix then, and watch anew.
+        The iterator blocks until the next change. It ends when a call of the
+        watch fails; the caller then reads the prefix and starts a new watch.
 
         Parameters
         ----------
         start_revision : int
-            The first revision to tell of; 0: from now on. One above the
-            highest revision of a `read_prefix` misses nothing.
-        quiet_seconds : float
-            See `QUIET_SECONDS`.
+            The first revision to report; 0 reports only later changes.
+            Starting one above the highest revision of a `read_prefix` misses
+            no change.
+        idle_timeout_seconds : float
+            See `WATCH_IDLE_TIMEOUT_SECONDS`.
 
         Raises
         ------
@@ -212,20 +216,22 @@
         after = start_revision - 1
         if not start_revision:
             after = self.read_key(prefix).revision
-        yield self._follow(prefix, after, quiet_seconds)
+        yield self._iterate_changes(prefix, after, idle_timeout_seconds)
 
-    def _follow(
-        self, prefix: str, after: int, quiet_seconds: float
+    def _iterate_changes(
+        self, prefix: str, after: int, idle_timeout_seconds: float
     ) -> typing.Iterator[Entry]:
         while True:
-            asked = time.monotonic()
+            started_at = time.monotonic()
             try:
                 changed = self.poll(
-                    prefix, after=after, wait_seconds=quiet_seconds
+                    prefix, after=after, wait_seconds=idle_timeout_seconds
                 )
             except errors.PlatformError:
-                quiet = time.monotonic() - asked >= quiet_seconds
-                reason = 'watch_quiet' if quiet else 'watch_ended'
+                timed_out = (
+                    time.monotonic() - started_at >= idle_timeout_seconds
+                )
+                reason = 'watch_quiet' if timed_out else 'watch_ended'
                 self._metrics.count('platform_failures', reason)
                 return
             yield from changed.entries
@@ -239,21 +245,22 @@
         Parameters
         ----------
         expected : int
-            The entry's revision; 0 where the key must be absent.
+            The entry's revision; 0 if the key must not exist.
         lease : int
-            The lease that the key ends with; 0: none.
+            The lease that the key is bound to; 0 for none.
 
         Returns
         -------
         int or None
-            The new revision; None: the comparison failed, nothing changed.
+            The new revision, or None if the comparison failed and nothing
+            was changed.
 
         Raises
         ------
         PlatformUnavailable
-            The call surely had no effect.
+            The call had no effect.
         AnswerLost
-            It may have had one, or may have one yet: read the key.
+            The call may have taken effect, or may still do so; read the key.
         PlatformRefused
             The value is too large, or the service refused the call.
         """
@@ -261,7 +268,7 @@
         return self._write(key, value, condition, lease)
 
     def put(self, key: str, value: bytes, *, lease: int = 0) -> int:
-        """Write a value whatever the key holds; raises as `swap` does."""
+        """Write a value unconditionally; raises the errors of `swap`."""
         revision = self._write(key, value, [], lease)
         if revision is None:
             raise self._fail('refused', 'an unconditional write was refused')
@@ -277,11 +284,11 @@
         if len(value) > MOST_VALUE_BYTES:
             self._metrics.count('platform_failures', 'too_large')
             raise errors.PlatformRefused(
-                f'{key}: {len(value)} bytes; the service holds values up to '
-                f'{MOST_VALUE_BYTES}: split the value over several keys'
+                f'{key}: {len(value)} bytes; the service stores values of up '
+                f'to {MOST_VALUE_BYTES}; split the value over several keys'
             )
         text = base64.b64encode(value).decode()
-        reply = self._call(
+        reply = self._send_write(
             _TRANSACTION,
             {
                 'expected_revision': conditions,
@@ -296,9 +303,9 @@
     def delete(self, key: str, *, expected: int) -> bool:
         """Delete a key if its revision is still the expected one.
 
-        Returns False where the comparison failed; raises as `swap` does.
+        Returns False if the comparison failed; raises the errors of `swap`.
         """
-        reply = self._call(
+        reply = self._send_write(
             _TRANSACTION,
             {
                 'expected_revision': [{'key': key, 'revision': expected}],
@@ -309,12 +316,15 @@
         return reply.status != 412
 
     def grant(self, ttl_seconds: float) -> int:
-        """Return a new lease; raises as `swap` does."""
-        reply = self._call(_LEASE, {'ttl_ms': int(ttl_seconds * 1000)})
+        """Return a new lease; raises the errors of `swap`."""
+        reply = self._send_write(_LEASE, {'ttl_ms': int(ttl_seconds * 1000)})
         return int(reply.values['lease'])
 
     def renew(self, lease: int) -> bool:
-        """Renew a lease; False: it has ended. Raises as `get` does."""
+        """Renew a lease, and return False if the lease has already ended.
+
+        Raises the errors of `get`.
+        """
         reply = self._send(
             'POST',
             f'{_RENEWAL}/{lease}',
@@ -324,7 +334,7 @@
         )
         return reply.status == 200
 
-    def _read(
+    def _send_read(
         self,
         path: str,
         query: dict[str, typing.Any],
@@ -342,7 +352,7 @@
             wait_seconds=wait_seconds,
         )
 
-    def _call(self, path: str, values: dict[str, typing.Any]) -> _Reply:
+    def _send_write(self, path: str, values: dict[str, typing.Any]) -> _Reply:
         return self._send(
             'POST',
             path,
@@ -363,14 +373,14 @@
         body: bytes = b'',
         wait_seconds: float = 0.0,
     ) -> _Reply:
-        self._metrics.count('platform_calls', _KINDS[path])
+        self._metrics.count('platform_calls', _CALL_KINDS[path])
         try:
             answer = self._connections.call(
                 method, target, body, wait_seconds=wait_seconds
             )
-        except connections.NeverSent as error:
+        except connections.RequestNotSent as error:
             raise self._fail('unavailable', str(error)) from None
-        except connections.MaybeSent as error:
+        except connections.RequestMaybeSent as error:
             reason = 'answer_lost' if writes else 'unavailable'
             raise self._fail(reason, str(error)) from None
         return self._check(answer, accepted, writes)
@@ -388,7 +398,8 @@
         if answer.status in accepted and isinstance(values, dict):
             return _Reply(answer.status, values)
         message = f'status {answer.status}: {answer.body[:200]!r}'
-        # These two surely changed nothing, as the service promises.
+        # The service guarantees that calls with status 429 or 503 changed
+        # nothing.
         if answer.status == 429:
             raise self._fail('throttled', message)
         if answer.status == 503:
@@ -404,7 +415,7 @@
 
 
 class KeyRead:
-    """One key's entry, or None, as of the service's revision."""
+    """One key's entry or None, and the service's revision of the read."""
 
     __slots__ = ('entry', 'revision')
 
@@ -416,7 +427,7 @@
 _FAILURES: dict[str, tuple[type[errors.PlatformError], str]] = {
     'unavailable': (
         errors.PlatformUnavailable,
-        'nothing was changed, try again later',
+        'nothing was changed; try again later',
     ),
     'throttled': (
         errors.PlatformUnavailable,
@@ -424,11 +435,11 @@
     ),
     'answer_lost': (
         errors.AnswerLost,
-        'the change may have been made, read the key to find out',
+        'the change may have been made; read the key to find out',
     ),
     'refused': (
         errors.PlatformRefused,
-        'nothing was changed, the call must be mended',
+        'nothing was changed; correct the call',
     ),
 }
 
--- a/src/amaranthslip/platform/quarantined.py
+++ b/src/amaranthslip/platform/quarantined.py
@@ -1,4 +1,4 @@
-"""Quarantined requests in the platform's store, kept across restarts.
+"""Quarantined requests in the platform's store, persistent across restarts.
 
 Each request has a leased entry, whose key ends with the fingerprint. Deleting
 the entry releases the request.
@@ -29,9 +29,9 @@
 _RETRY_SECONDS = 5.0
 # Seconds between reloads by an instance that does not follow the store.
 _RELOAD_SECONDS = 60.0
-# Limits on the queued writes and on the requests with a scheduled write.
-_MOST_PENDING = 64
-_MOST_SCHEDULED = 1024
+# Maximum numbers of queued writes and of requests with a scheduled write.
+_MAX_PENDING = 64
+_MAX_SCHEDULED = 1024
 
 _Crashes = typing.Sequence[quarantine_module.Crash]
 
@@ -42,7 +42,7 @@
     Parameters
     ----------
     settings : Settings
-        `platform.prefix` comes before the keys.
+        Keys start with `platform.prefix`.
     key_value : KeyValue
         The client of the store.
     quarantine : Quarantine
@@ -161,7 +161,7 @@
                     )
 
     def _enqueue(self, fingerprint: bytes, crashes: _Crashes) -> None:
-        if len(self._pending) < _MOST_PENDING:
+        if len(self._pending) < _MAX_PENDING:
             self._pending[fingerprint] = crashes
             self._wake.set()
 
@@ -170,7 +170,7 @@
             self._quarantine.read_clock() + seconds
         )
         self._next_write_at.move_to_end(fingerprint)
-        while len(self._next_write_at) > _MOST_SCHEDULED:
+        while len(self._next_write_at) > _MAX_SCHEDULED:
             self._next_write_at.popitem(last=False)
 
     def _forget(self, fingerprint: bytes) -> None:
--- a/tests/features/platform.feature
+++ b/tests/features/platform.feature
@@ -1,128 +1,128 @@
-Feature: The platform's key-value service and instance list are used safely
+Feature: Clients of the platform's key-value service handle its failures
 
-  Scenario: A value is swapped only against the revision it was read at
+  Scenario: A swap only succeeds at the expected revision
     Given a key-value service
     When the key-value key "a" is swapped from absent to "one"
     Then the key-value swap succeeded
     And the key-value key "a" holds "one"
     When the key-value key "a" is swapped from absent to "two"
-    Then the key-value swap lost
+    Then the key-value swap fails its comparison
     And the key-value key "a" holds "one"
-    When the key-value key "a" is swapped from its revision to "three"
+    When the key-value key "a" is swapped from its current revision to "three"
     Then the key-value swap succeeded
     And the key-value prefix holds "three"
-    And the key-value calls "txn" counted 3 here and at the service
+    And the key-value calls "txn" count 3 at the client and at the service
 
-  Scenario: A delete is refused against another revision
+  Scenario: A delete only succeeds at the expected revision
     Given a key-value service
     When the key-value key "a" is swapped from absent to "one"
-    Then the key-value key "a" is deleted only at its own revision
+    Then the key-value key "a" can be deleted only at its current revision
 
-  Scenario: A write whose answer is lost is told from one that surely failed
-    # An operator submits a version. The service takes it in, and the answer
-    # is lost on its way back. If the client said 'failed', the operator
-    # would submit again and meet a conflict with his own change; if the
-    # library sent the call again by itself, it would lose against itself.
+  Scenario: A write whose answer is lost is not reported as failed
+    # An operator submits a version. The service applies the write, but its
+    # answer is lost. If the client reported a failure, the operator would
+    # submit again and get a conflict with the first submission. If the HTTP
+    # library retried the call, the retry would fail its own comparison.
     Given a key-value service
-    And the key-value service loses its answers after the effect
+    And the key-value service drops its answers after applying the calls
     When the key-value key "a" is swapped from absent to "one"
-    Then the key-value swap ended in AnswerLost
-    And the key-value calls "txn" counted 1 here and at the service
+    Then the key-value swap raised AnswerLost
+    And the key-value calls "txn" count 1 at the client and at the service
     And the key-value failures count 1 "answer_lost"
     And the key-value key "a" holds "one"
 
-  Scenario: A write whose answer does not come in time may have landed
-    # The service is slow. The writer gives up at its limit, the service goes
-    # on and writes all the same: 'failed' would be untrue.
+  Scenario: A write that times out is not reported as failed
+    # The service is slow. The client's time limit expires, but the service
+    # continues and applies the write, so the client must not report failure.
     Given a key-value service
     And the key-value service answers after 3 seconds
     When the key-value key "a" is swapped from absent to "one"
-    Then the key-value swap ended in AnswerLost
-    And the key-value client still has all its places after 40 such calls
+    Then the key-value swap raised AnswerLost
+    And the key-value client can still make calls after 40 calls that time out
 
-  Scenario: A service that stops reading holds no place of the client
-    # The service's machine is overloaded and takes no more bytes: each call
-    # ends in the midst of sending. If such a call kept its place in the
-    # pool, the client would be stuck for good after sixteen of them.
+  Scenario: Calls to a service that stops reading release their call slots
+    # The service's machine is overloaded and accepts no more bytes, so each
+    # call times out while it sends. If such a call kept its slot in the
+    # pool, the client would be blocked for ever after sixteen such calls.
     Given a key-value service
-    And the key-value connections pass no more bytes on
-    When 20 large key-value swaps end in AnswerLost
+    And the key-value connections stop forwarding bytes
+    When 20 large key-value swaps raise AnswerLost
     And the key-value connections are cut
-    And the key-value connections pass bytes on again
+    And the key-value connections forward bytes again
     And the key-value key "a" is swapped from absent to "one"
     Then the key-value swap succeeded
 
-  Scenario: A service that can't be reached has surely changed nothing
-    # The service's process is gone: the kernel refuses the connection, so
-    # that no byte of the write has left. The caller may say 'not run'.
+  Scenario: A refused connection is reported as a write without effect
+    # The service's process has ended and the kernel refuses the connection,
+    # so no byte of the write was sent. The caller may report 'not run'.
     Given a key-value service
     And the key-value connections are refused
     When the key-value key "a" is swapped from absent to "one"
-    Then the key-value swap ended in PlatformUnavailable
+    Then the key-value swap raised PlatformUnavailable
     And the key-value failures count 1 "unavailable"
     When the key-value connections are accepted again
     And the key-value key "a" is swapped from absent to "one"
     Then the key-value swap succeeded
 
-  Scenario: A pooled connection that the service closed is no failure
-    # The service restarts between two calls. The idle connection that the
-    # client kept is dead; a write over it would end as 'may have landed'
-    # although nothing is wrong by now.
+  Scenario: A pooled connection that the service closed is replaced
+    # The service restarts between two calls, which closes the client's idle
+    # connection. A write over that connection would be reported as possibly
+    # applied although the service is available again.
     Given a key-value service
     When the key-value key "a" is swapped from absent to "one"
     And the key-value connections are cut
     And the key-value key "b" is swapped from absent to "two"
     Then the key-value swap succeeded
 
-  Scenario: In an outage reads fail and writes are not called failed
-    # Connections are accepted and closed without a word, as by a balancer
-    # without a live service behind it.
+  Scenario: In an outage reads fail and writes have an unknown outcome
+    # Connections are accepted and closed without an answer, as by a load
+    # balancer that has no live service.
     Given a key-value service
     And the key-value service is down
     When the key-value key "a" is swapped from absent to "one"
-    Then the key-value swap ended in AnswerLost
-    And reading the key-value key "a" ends in PlatformUnavailable
+    Then the key-value swap raised AnswerLost
+    And reading the key-value key "a" raises PlatformUnavailable
 
-  Scenario: A value above a megabyte is refused before it is sent
+  Scenario: A value above one megabyte is refused before it is sent
     Given a key-value service
-    When the key-value key "a" is swapped from absent to a value too large
-    Then the key-value swap ended in PlatformRefused
-    And the key-value calls "txn" counted 0 here and at the service
+    When the key-value key "a" is swapped from absent to a value that is too large
+    Then the key-value swap raised PlatformRefused
+    And the key-value calls "txn" count 0 at the client and at the service
 
-  Scenario: A watch tells of changes from a revision on, and of deletions
+  Scenario: A watch reports changes from a revision on, including deletions
     Given a key-value service
     When the key-value key "a" is swapped from absent to "one"
-    And a key-value watch starts above what was read
+    And a key-value watch starts above the revision of key "a"
     And the key-value key "b" is swapped from absent to "two"
     And the key-value key "b" is deleted
-    Then the key-value watch tells of "b" as "two"
-    And the key-value watch tells of "b" as deleted
-    And the key-value calls "watch" counted alike here and there
+    Then the key-value watch reports "b" as "two"
+    And the key-value watch reports "b" as deleted
+    And the key-value calls "watch" have equal counts at the client and the service
 
-  Scenario: A watch that silently stops ends by itself
-    # A watch stays open and says nothing any more. An instance that trusted
-    # it would keep an old configuration for ever.
+  Scenario: A watch that gets no answer ends after its idle timeout
+    # A watch stays open but gets no more answers. Without an idle timeout
+    # the instance would keep an old configuration for ever.
     Given a key-value service
-    And a key-value watch with a quiet limit of 1 second
-    And the key-value watches go silent
+    And a key-value watch with an idle timeout of 1 second
+    And the key-value service stops answering watches
     When the key-value key "b" is swapped from absent to "two"
-    Then the key-value watch ends without telling of it
+    Then the key-value watch ends without reporting the change
     And the key-value failures count 1 "watch_quiet"
 
-  Scenario: A watch ends with the service's connection
+  Scenario: A watch ends when its connection is closed
     Given a key-value service
-    And a key-value watch with a quiet limit of 20 seconds
+    And a key-value watch with an idle timeout of 20 seconds
     When the key-value connections are cut
-    Then the key-value watch ends without telling of it
+    Then the key-value watch ends without reporting the change
 
-  Scenario Outline: A refused write has surely changed nothing
-    # The service is busy, or turns this instance away, and says so. Were
-    # that told as 'may have landed', a writer would read and wait for
-    # nothing, and an operator would be told less than is known.
+  Scenario Outline: A write refused by status is reported as without effect
+    # The service reports that it is busy or that it throttles this instance.
+    # If the outcome were reported as unknown, a writer would read and wait
+    # needlessly, and an operator would get less information than is known.
     Given a key-value service
     And the key-value service answers every call with <status>
     When the key-value key "a" is swapped from absent to "one"
-    Then the key-value swap ended in PlatformUnavailable
+    Then the key-value swap raised PlatformUnavailable
     And the key-value failures count 1 "<reason>"
 
     Examples:
@@ -130,39 +130,39 @@
       | 429    | throttled   |
       | 503    | unavailable |
 
-  Scenario: Changes that the service forgot are not passed over
-    # While a watch was cut the service dropped its history. Going on from
-    # the present would miss what changed meanwhile, such as a server that
-    # left, for good.
+  Scenario: Changes that the service dropped are not skipped
+    # The service dropped its history while a watch was interrupted. A watch
+    # that continued from the current revision would never report the changes
+    # in between, such as the removal of a server.
     Given a key-value service
     When the key-value key "a" is swapped from absent to "one"
-    And the key-value service forgets its history
-    Then following the key-value service from before ends in HistoryLost
+    And the key-value service drops its history
+    Then polling the key-value service from an old revision raises HistoryLost
 
-  Scenario: A long list is read whole, page by page
+  Scenario: All pages of a long list are read
     Given a key-value service
     When 9 key-value keys of 300000 bytes are written
-    Then all 9 of them are read, in 3 calls or more
+    Then all 9 keys are read in at least 3 calls
 
-  Scenario: A key under a lease goes with it
+  Scenario: A key is deleted when its lease ends
     Given a key-value service
     When a key-value key is written under a lease of 0.3 seconds
-    Then the key-value key is gone once the lease has ended
+    Then the key-value key is deleted when its lease ends
 
-  Scenario: An instance that starts again takes up its entry
-    # All machines lose their power and come back together. A lease and a
-    # write of each, for entries that are right already, would be most of what
-    # they ask of the store in that moment.
+  Scenario: A restarted instance renews the lease of its stored entry
+    # After a power failure all machines restart together. If each instance
+    # requested a lease and wrote an entry that is already correct, these
+    # calls would be most of the store's load at that time.
     Given a key-value service
     And the instance "hn-a-1" lists itself in the store
-    Then the instance list shows "hn-a-1" alone
-    When the instance "hn-a-1" starts again and has read the store
-    Then it renewed the lease of its entry, and wrote nothing
+    Then the instance list contains only "hn-a-1"
+    When the instance "hn-a-1" restarts and reads the store
+    Then the restarted instance renews the lease of its entry and writes nothing
 
-  Scenario: Instances list themselves, and an outage is told
+  Scenario: Instances list themselves, and a failed read raises an error
     Given a key-value service
     And the instance "hn-a-1" lists itself in the store
-    And an entry among the instances that can not be read
-    Then the instance list shows "hn-a-1" alone
+    And instance entries that can not be decoded
+    Then the instance list contains only "hn-a-1"
     Given the key-value service is down
-    Then reading the instance list ends in PlatformUnavailable
+    Then reading the instance list raises PlatformUnavailable
--- a/tests/features/steps/platform_services.py
+++ b/tests/features/steps/platform_services.py
@@ -1,4 +1,4 @@
-"""Steps about the clients of the platform's services."""
+"""Steps for the clients of the platform's services."""
 
 import contextlib
 
@@ -15,14 +15,17 @@
 from standins import proxy
 from tests.support import standins
 
-_LIMIT_SECONDS = 20
-_TIMEOUT_SECONDS = 0.3
+_STEP_TIMEOUT_SECONDS = 20
+_CALL_TIMEOUT_SECONDS = 0.3
 
 
-def _limit():
-    # An AssertionError, as behave takes a bare Timeout for the end of the
-    # whole run and leaves the stand-ins running.
-    return gevent.Timeout(_LIMIT_SECONDS, AssertionError('took too long'))
+def _limit_time():
+    # Raises AssertionError, because behave aborts the whole run on a bare
+    # Timeout and leaves the stand-ins running.
+    return gevent.Timeout(
+        _STEP_TIMEOUT_SECONDS,
+        AssertionError('the step exceeded its time limit'),
+    )
 
 
 def _read_settings(key_value):
@@ -40,7 +43,7 @@
             },
             'platform': {
                 'key_value': key_value,
-                'timeout_seconds': _TIMEOUT_SECONDS,
+                'timeout_seconds': _CALL_TIMEOUT_SECONDS,
             },
         }
     )
@@ -58,8 +61,10 @@
     context.add_cleanup(context.key_value.close)
 
 
-@behave.given('the key-value service loses its answers after the effect')
-def lose_answers(context):
+@behave.given(
+    'the key-value service drops its answers after applying the calls'
+)
+def drop_answers(context):
     context.service.call('/standin/faults', mode='lose_answers')
 
 
@@ -69,7 +74,7 @@
 
 
 @behave.given('the key-value service is down')
-def take_down(context):
+def set_outage(context):
     context.service.call('/standin/faults', mode='down')
 
 
@@ -78,22 +83,22 @@
     context.link.refuse()
 
 
-@behave.given('the key-value connections pass no more bytes on')
-def hold_bytes(context):
+@behave.given('the key-value connections stop forwarding bytes')
+def stop_forwarding(context):
     context.link.up.hold = True
 
 
-@behave.when('the key-value connections pass bytes on again')
-def release_bytes(context):
+@behave.when('the key-value connections forward bytes again')
+def resume_forwarding(context):
     context.link.up.hold = False
 
 
-@behave.when('{count:d} large key-value swaps end in {kind}')
+@behave.when('{count:d} large key-value swaps raise {kind}')
 def swap_large(context, count, kind):
     value = b'x' * (keyvalue.MOST_VALUE_BYTES - 1)
     for number in range(count):
         _swap(context, f'large-{number}', value, 0)
-        check_kind(context, kind)
+        check_error_kind(context, kind)
 
 
 @behave.when('the key-value connections are accepted again')
@@ -107,8 +112,8 @@
     context.link.cut()
 
 
-@behave.given('the key-value watches go silent')
-def silence_watches(context):
+@behave.given('the key-value service stops answering watches')
+def stop_answering_watches(context):
     context.service.call('/standin/faults', silent_watches=True)
 
 
@@ -126,7 +131,8 @@
 
 
 @behave.when(
-    'the key-value key "{key}" is swapped from its revision to "{value}"'
+    'the key-value key "{key}" is swapped from its current revision to '
+    '"{value}"'
 )
 def swap_from_revision(context, key, value):
     revision = context.key_value.get(key).revision
@@ -134,7 +140,8 @@
 
 
 @behave.when(
-    'the key-value key "{key}" is swapped from absent to a value too large'
+    'the key-value key "{key}" is swapped from absent to a value that is '
+    'too large'
 )
 def swap_too_large(context, key):
     _swap(context, key, b'x' * (keyvalue.MOST_VALUE_BYTES + 1), 0)
@@ -146,7 +153,9 @@
     assert context.key_value.delete(key, expected=revision)
 
 
-@behave.then('the key-value key "{key}" is deleted only at its own revision')
+@behave.then(
+    'the key-value key "{key}" can be deleted only at its current revision'
+)
 def check_delete(context, key):
     revision = context.key_value.get(key).revision
     assert not context.key_value.delete(key, expected=revision + 1)
@@ -161,34 +170,35 @@
     assert context.swapped > 1
 
 
-@behave.then('the key-value swap lost')
-def check_lost(context):
+@behave.then('the key-value swap fails its comparison')
+def check_swap_failed(context):
     assert context.swap_error is None, context.swap_error
     assert context.swapped is None
 
 
-@behave.then('the key-value swap ended in {kind}')
-def check_kind(context, kind):
+@behave.then('the key-value swap raised {kind}')
+def check_error_kind(context, kind):
     assert type(context.swap_error).__name__ == kind, context.swap_error
 
 
 @behave.then(
-    'the key-value client still has all its places after {calls:d} such calls'
+    'the key-value client can still make calls after {calls:d} calls '
+    'that time out'
 )
-def check_places(context, calls):
-    with _limit():
-        tries = [
+def check_call_slots(context, calls):
+    with _limit_time():
+        calls_in_progress = [
             gevent.spawn(_swap, context, str(number), b'', 0)
             for number in range(calls)
         ]
-        gevent.joinall(tries, raise_error=True)
+        gevent.joinall(calls_in_progress, raise_error=True)
         context.service.call('/standin/faults', mode='up')
         _swap(context, 'after', b'', 0)
     check_succeeded(context)
 
 
 @behave.then('the key-value key "{key}" holds "{value}"')
-def check_value(context, key, value):
+def check_key_value(context, key, value):
     assert context.key_value.get(key).value == value.encode()
 
 
@@ -198,17 +208,18 @@
     assert [entry.value.decode() for entry in entries] == [value]
 
 
-@behave.then('reading the key-value key "{key}" ends in PlatformUnavailable')
+@behave.then('reading the key-value key "{key}" raises PlatformUnavailable')
 def check_read(context, key):
     try:
         context.key_value.get(key)
     except errors.PlatformUnavailable:
         return
-    raise AssertionError('the read gave an answer')
+    raise AssertionError('the read returned an answer instead of an error')
 
 
 @behave.then(
-    'the key-value calls "{kind}" counted {count:d} here and at the service'
+    'the key-value calls "{kind}" count {count:d} at the client and at '
+    'the service'
 )
 def check_calls(context, kind, count):
     total = context.service.call('/standin/calls')['total']
@@ -221,18 +232,20 @@
     assert context.metrics.read('platform_failures', reason) == count
 
 
-def _watch(context, start_revision, quiet_seconds):
+def _watch(context, start_revision, idle_timeout_seconds):
     stack = contextlib.ExitStack()
     context.add_cleanup(stack.close)
     entries = stack.enter_context(
         context.key_value.watch(
-            'b', start_revision=start_revision, quiet_seconds=quiet_seconds
+            'b',
+            start_revision=start_revision,
+            idle_timeout_seconds=idle_timeout_seconds,
         )
     )
     context.watched = queue.Queue()
     stack.callback(gevent.spawn(_read_watch, context, entries).kill)
-    # Faults are for a watch that waits at the service.
-    with _limit():
+    # Scenarios inject faults only after the watch has reached the service.
+    with _limit_time():
         while not context.service.call('/standin/calls')['total'].get('watch'):
             gevent.sleep(0.02)
 
@@ -243,42 +256,45 @@
     context.watched.put(None)
 
 
-@behave.when('a key-value watch starts above what was read')
+@behave.when('a key-value watch starts above the revision of key "a"')
 def start_watch(context):
     revision = context.key_value.get('a').revision
-    _watch(context, revision + 1, _LIMIT_SECONDS)
+    _watch(context, revision + 1, _STEP_TIMEOUT_SECONDS)
 
 
-@behave.given('a key-value watch with a quiet limit of {seconds:d} second')
-@behave.given('a key-value watch with a quiet limit of {seconds:d} seconds')
-def start_quiet_watch(context, seconds):
+@behave.given('a key-value watch with an idle timeout of {seconds:d} second')
+@behave.given('a key-value watch with an idle timeout of {seconds:d} seconds')
+def start_idle_watch(context, seconds):
     _watch(context, 0, seconds)
 
 
-@behave.then('the key-value watch tells of "{key}" as "{value}"')
+@behave.then('the key-value watch reports "{key}" as "{value}"')
 def check_watched(context, key, value):
-    with _limit():
+    with _limit_time():
         entry = context.watched.get()
     assert (entry.key, entry.value) == (key, value.encode())
 
 
-@behave.then('the key-value watch tells of "{key}" as deleted')
+@behave.then('the key-value watch reports "{key}" as deleted')
 def check_watched_deletion(context, key):
-    with _limit():
+    with _limit_time():
         entry = context.watched.get()
     assert (entry.key, entry.value) == (key, None)
 
 
-@behave.then('the key-value watch ends without telling of it')
+@behave.then('the key-value watch ends without reporting the change')
 def check_watch_end(context):
-    with _limit():
+    with _limit_time():
         assert context.watched.get() is None
 
 
-@behave.then('the key-value calls "{kind}" counted alike here and there')
-def check_alike(context, kind):
-    # The next call of a watch may be on its way.
-    with _limit():
+@behave.then(
+    'the key-value calls "{kind}" have equal counts at the client and '
+    'the service'
+)
+def check_equal_counts(context, kind):
+    # The next call of the watch may not have reached the service yet.
+    with _limit_time():
         while context.service.call('/standin/calls')['total'][
             kind
         ] != context.metrics.read('platform_calls', kind):
@@ -291,18 +307,20 @@
     context.service.call('/standin/faults', mode=mode)
 
 
-@behave.when('the key-value service forgets its history')
-def forget_history(context):
+@behave.when('the key-value service drops its history')
+def drop_history(context):
     context.service.call('/standin/compact', now=True)
 
 
-@behave.then('following the key-value service from before ends in HistoryLost')
+@behave.then(
+    'polling the key-value service from an old revision raises HistoryLost'
+)
 def check_history(context):
     try:
         context.key_value.poll('', after=1, wait_seconds=0.1)
     except errors.HistoryLost:
         return
-    raise AssertionError('the service answered')
+    raise AssertionError('the poll returned changes instead of an error')
 
 
 @behave.when('{count:d} key-value keys of {size:d} bytes are written')
@@ -312,8 +330,8 @@
         context.key_value.put(f'many/{number:04}', value)
 
 
-@behave.then('all {count:d} of them are read, in {pages:d} calls or more')
-def read_many(context, count, pages):
+@behave.then('all {count:d} keys are read in at least {pages:d} calls')
+def check_pages(context, count, pages):
     before = context.metrics.read('platform_calls', 'range')
     entries = context.key_value.read_prefix('many/')
     assert [each.key for each in entries] == [
@@ -329,10 +347,10 @@
     context.key_value.put('leased', b'x', lease=context.lease)
 
 
-@behave.then('the key-value key is gone once the lease has ended')
-def check_lease(context):
+@behave.then('the key-value key is deleted when its lease ends')
+def check_lease_end(context):
     assert context.key_value.renew(context.lease)
-    with _limit():
+    with _limit_time():
         while context.key_value.get('leased') is not None:
             gevent.sleep(0.05)
     assert not context.key_value.renew(context.lease)
@@ -361,20 +379,22 @@
     return context.service.call('/standin/calls')['total']
 
 
-@behave.when('the instance "{name}" starts again and has read the store')
-def start_again(context, name):
+@behave.when('the instance "{name}" restarts and reads the store')
+def restart_instance(context, name):
     context.calls = _count_calls(context)
     listing = instances.StoredInstances(
         context.key_value._settings, context.key_value, follows=True
     )
     listing.replace(context.key_value.read_prefix(listing.prefix))
-    kept = gevent.spawn(listing.keep_listed, _build_member(name))
-    context.add_cleanup(kept.kill)
+    listing_task = gevent.spawn(listing.keep_listed, _build_member(name))
+    context.add_cleanup(listing_task.kill)
 
 
-@behave.then('it renewed the lease of its entry, and wrote nothing')
+@behave.then(
+    'the restarted instance renews the lease of its entry and writes nothing'
+)
 def check_renewed(context):
-    with _limit():
+    with _limit_time():
         while not _count_calls(context).get('renewal'):
             gevent.sleep(0.02)
     calls = _count_calls(context)
@@ -382,24 +402,24 @@
         assert calls.get(kind) == context.calls.get(kind), calls
 
 
-@behave.given('an entry among the instances that can not be read')
+@behave.given('instance entries that can not be decoded')
 def write_unreadable(context):
     for number, value in enumerate((b'\xff', b'[]', b'{"address": 5}')):
         context.key_value.put(f'/amaranthslip/instances/{number}', value)
 
 
-@behave.then('the instance list shows "{name}" alone')
-def check_listed(context, name):
-    with _limit():
+@behave.then('the instance list contains only "{name}"')
+def check_instance_list(context, name):
+    with _limit_time():
         while not (listed := context.listing.read()):
             gevent.sleep(0.02)
     assert [each.name for each in listed] == [name], listed
 
 
-@behave.then('reading the instance list ends in PlatformUnavailable')
+@behave.then('reading the instance list raises PlatformUnavailable')
 def check_list_outage(context):
     try:
         context.listing.read()
     except errors.PlatformUnavailable:
         return
-    raise AssertionError('the list gave an answer')
+    raise AssertionError('the instance list was read without an error')
--- a/tests/support/standins.py
+++ b/tests/support/standins.py
@@ -1,4 +1,4 @@
-"""Stand-in programs, started and ended by tests."""
+"""Stand-in programs that tests start and stop."""
 
 import json
 import subprocess
@@ -11,7 +11,7 @@
 
 
 class Standin:
-    """One running stand-in program."""
+    """A running stand-in program."""
 
     __slots__ = ('process', 'port', 'ready')
 
@@ -25,16 +25,16 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as `IP:port`."""
+        """The listening address, as `IP:port`."""
         return f'127.0.0.1:{self.port}'
 
     @property
     def url(self) -> str:
-        """Its HTTP URL."""
+        """The HTTP URL of the listening address."""
         return f'http://{self.address}'
 
     def call(self, path: str, **values: object) -> typing.Any:
-        """Call a control path; without values by GET."""
+        """Call a control path, by POST with `values` or else by GET."""
         client = geventhttpclient.HTTPClient('127.0.0.1', self.port)
         method = 'POST' if values else 'GET'
         body = json.dumps(values) if values else ''
@@ -44,14 +44,14 @@
             client.close()
 
     def stop(self) -> None:
-        """End the program; harmless when it has ended."""
+        """Stop the program; has no effect if it has already ended."""
         self.process.terminate()
         self.process.wait(_STOP_SECONDS)
         self.process.stdout.close()
 
 
 def start(context: typing.Any, name: str, *options: str) -> Standin:
-    """Start a stand-in that ends with the behave scenario."""
+    """Start a stand-in that is stopped at the end of the scenario."""
     standin = Standin(name, *options)
     context.add_cleanup(standin.stop)
     return standin
