--- a/src/amaranthslip/logs.py
+++ b/src/amaranthslip/logs.py
@@ -1,8 +1,8 @@
 """Logs of one process: lines of key=value pairs on standard output.
 
-A line holds the time (UTC), the level, the logger, the instance's name, the
-event, and each field given as `extra`. Whoever logs on behalf of a request
-passes its id: ``logger.info('...', extra={'request_id': id})``.
+A line contains the time (UTC), the level, the logger, the instance's name,
+the event, and each field given as `extra`. Log calls for a request pass the
+request's id: ``logger.info('...', extra={'request_id': id})``.
 """
 
 import collections
@@ -22,15 +22,15 @@
 from amaranthslip import settings as settings_module
 
 _MASK = '***'
-_NUMBERS = (int, float)
+_NUMBER_TYPES = (int, float)
 _PLAIN_VALUE = re.compile(r'[^\s"=]+\Z')
-# What a record has without `extra`, and what formatting adds to it.
+# Attributes of a record without `extra`, and those that formatting adds.
 _STANDARD_FIELDS = frozenset(
     vars(logging.makeLogRecord({})) | {'message': '', 'asctime': ''}
 )
-# What follows one of these words is a secret, in a header, a JSON body, a
+# Matches a keyword and the secret that follows it in a header, a JSON body, a
 # form body or a query string.
-_SECRETS = re.compile(
+_SECRET_PATTERN = re.compile(
     r"""(?ix)
     ( \b(?:bearer|basic)\s+
     | \b(?:password|passwd|secret|api[_-]?key|token_key)
@@ -42,20 +42,20 @@
 
 
 def mask_secrets(text: str) -> str:
-    """Return `text` with each bearer key and each password masked."""
-    return _SECRETS.sub(r'\1' + _MASK, text)
+    """Return `text` with all bearer keys and passwords masked."""
+    return _SECRET_PATTERN.sub(r'\1' + _MASK, text)
 
 
 class SecretFilter(logging.Filter):
     """Masks secrets in the event and in the traceback of each record.
 
-    A caller's key shows up in a log when an error quotes the header or the
-    body it stumbled over. The filter sits on the handler, so that it also
-    sees what libraries log.
+    An error that quotes an invalid header or body would otherwise write a
+    caller's key to the log. The filter is attached to the handler, so that
+    it also applies to the records of libraries.
     """
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Mask in place; always keep the record."""
+        """Mask the record in place, and return True to keep the record."""
         record.msg = mask_secrets(record.getMessage())
         record.args = ()
         if record.exc_info and not record.exc_text:
@@ -72,7 +72,7 @@
     Parameters
     ----------
     instance : str
-        The instance's name, on every line.
+        The instance's name, which every line contains.
     """
 
     def __init__(self, instance: str) -> None:
@@ -80,19 +80,19 @@
         self._instance = instance
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line; a traceback goes into its `trace` value."""
+        """Return the line; its `trace` value contains any traceback."""
         return ' '.join(
-            f'{key}={_quote(value)}' for key, value in self._pair(record)
+            f'{key}={_quote(value)}' for key, value in self._list_pairs(record)
         )
 
-    def _pair(
+    def _list_pairs(
         self, record: logging.LogRecord
     ) -> typing.Iterator[tuple[str, str]]:
-        moment = datetime.datetime.fromtimestamp(
+        created_at = datetime.datetime.fromtimestamp(
             record.created, datetime.timezone.utc
         )
-        stamp = moment.isoformat(timespec='milliseconds')
-        yield 'time', stamp.replace('+00:00', 'Z')
+        timestamp = created_at.isoformat(timespec='milliseconds')
+        yield 'time', timestamp.replace('+00:00', 'Z')
         yield 'level', record.levelname.lower()
         yield 'logger', record.name
         yield 'instance', self._instance
@@ -100,7 +100,7 @@
         for name, value in vars(record).items():
             if name in _STANDARD_FIELDS:
                 continue
-            if isinstance(value, _NUMBERS):
+            if isinstance(value, _NUMBER_TYPES):
                 yield name, str(value)
             else:
                 yield name, mask_secrets(str(value))
@@ -116,32 +116,33 @@
     return json.dumps(value, ensure_ascii=False)
 
 
-# Of an instance, a second: three lines for each of 150 requests, and as much
-# for trouble; a line is some 250 bytes. What is beyond is counted and told.
-_MOST_LINES = 900
-# Bytes that wait for a reader of standard output that stalls.
-_WAITING_BYTES = 262144
-# Seconds that lines wait to be written together, and between tries while the
-# reader stalls: a write for each line costs as much as to format it. A process
-# that is killed loses the lines of so long.
+# Lines in each second: three for each of 150 requests of an instance, and as
+# many again for failures, at about 250 bytes each. Lines beyond the limit are
+# dropped, and their count is logged.
+_MAX_LINES_PER_SECOND = 900
+# Bytes that are buffered while the reader of standard output stalls.
+_MAX_BUFFERED_BYTES = 262144
+# Interval of writes and of retries while the reader stalls. Lines are written
+# together, because one write for each line costs as much as formatting the
+# line. A killed process loses the lines of this period.
 _FLUSH_SECONDS = 0.05
-# What a pipe takes without waiting once it says that it takes anything
+# Bytes that a pipe accepts without blocking when poll reports it as writable
 # (POSIX, PIPE_BUF).
 _WRITE_BYTES = 4096
 
 
 class BoundedHandler(logging.Handler):
-    """Writes lines to a descriptor; it never waits and keeps a rate.
+    """Writes lines to a file descriptor without blocking, at a limited rate.
 
-    A reader that stalls would otherwise stop the whole process with the
-    first line beyond what the pipe holds, and with it every request.
+    If writes could block, a stalled reader would stop the whole process, and
+    all its requests, at the first line that does not fit into the pipe.
 
     Parameters
     ----------
     descriptor : int
-        Where the lines go.
+        The file descriptor to write to.
     clock : callable
-        Seconds that only grow.
+        Monotonic clock, in seconds.
     """
 
     def __init__(
@@ -153,13 +154,13 @@
         super().__init__()
         self._descriptor = descriptor
         self._clock = clock
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._waiting_bytes = 0
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
         self._flusher: gevent.Greenlet | None = None
         self._second = 0
         self._lines = 0
         self.dropped = 0
-        # The real one: gevent's would wait in the loop for an answer.
+        # The unpatched poll; gevent's version would yield to the event loop.
         self._poll = monkey.get_original('select', 'poll')()
         try:
             self._poll.register(descriptor, select.POLLOUT)
@@ -167,21 +168,24 @@
             self._poll = None
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a line, keep it for later, or count it as dropped."""
+        """Buffer the line of a record, or count the line as dropped."""
         second = int(self._clock())
         if second != self._second:
-            self._begin_second(second)
+            self._start_second(second)
         self._lines += 1
-        if self._lines > _MOST_LINES and record.levelno < logging.ERROR:
+        if (
+            self._lines > _MAX_LINES_PER_SECOND
+            and record.levelno < logging.ERROR
+        ):
             self.dropped += 1
             return
-        if not self._put(self.format(record)):
+        if not self._buffer_line(self.format(record)):
             self.dropped += 1
         if record.levelno >= logging.ERROR:
-            # It may be the last that this process says.
+            # An error may be the last line before the process ends.
             self.flush()
 
-    def _begin_second(self, second: int) -> None:
+    def _start_second(self, second: int) -> None:
         self._second = second
         self._lines = 0
         if self.dropped:
@@ -194,55 +198,56 @@
                     'lines': self.dropped,
                 }
             )
-            # Where not even this fits, the count goes on.
-            if self._put(self.format(record)):
+            # If this line does not fit either, the count is kept.
+            if self._buffer_line(self.format(record)):
                 self.dropped = 0
 
-    def _put(self, text: str) -> bool:
+    def _buffer_line(self, text: str) -> bool:
         line = text.encode('utf-8', 'replace') + b'\n'
-        if self._waiting_bytes + len(line) > _WAITING_BYTES:
+        if self._buffered_bytes + len(line) > _MAX_BUFFERED_BYTES:
             return False
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
         if self._flusher is None:
-            self._flusher = gevent.spawn(self._keep_flushing)
+            self._flusher = gevent.spawn(self._flush_periodically)
         return True
 
-    def _keep_flushing(self) -> None:
-        while self._waiting:
+    def _flush_periodically(self) -> None:
+        while self._buffer:
             gevent.sleep(_FLUSH_SECONDS)
             self.flush()
         self._flusher = None
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it now."""
-        while self._waiting and self._takes_more():
-            block = self._take_block()
+        """Write buffered lines while the descriptor accepts more bytes."""
+        while self._buffer and self._is_writable():
+            block = self._pop_block()
             try:
                 written = os.write(self._descriptor, block)
             except OSError:
-                # Nobody reads any longer, and nobody could be told.
-                self._waiting_bytes -= len(block)
+                # The reader has closed the pipe, so this failure can't be
+                # logged either.
+                self._buffered_bytes -= len(block)
                 self.dropped += block.count(b'\n')
                 continue
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(block):
-                self._waiting.appendleft(block[written:])
+                self._buffer.appendleft(block[written:])
 
-    def _take_block(self) -> bytes:
-        """Return lines, or a part of one, that a pipe takes at once."""
-        block = self._waiting.popleft()
+    def _pop_block(self) -> bytes:
+        """Remove and return lines, or part of one, for a single write."""
+        block = self._buffer.popleft()
         if len(block) > _WRITE_BYTES:
-            self._waiting.appendleft(block[_WRITE_BYTES:])
+            self._buffer.appendleft(block[_WRITE_BYTES:])
             return block[:_WRITE_BYTES]
         lines = [block]
         size = len(block)
-        while self._waiting and size + len(self._waiting[0]) <= _WRITE_BYTES:
-            lines.append(self._waiting.popleft())
+        while self._buffer and size + len(self._buffer[0]) <= _WRITE_BYTES:
+            lines.append(self._buffer.popleft())
             size += len(lines[-1])
         return b''.join(lines)
 
-    def _takes_more(self) -> bool:
+    def _is_writable(self) -> bool:
         return self._poll is None or bool(self._poll.poll(0))
 
 
@@ -251,19 +256,20 @@
     *,
     stream: typing.TextIO | None = None,
 ) -> logging.Handler:
-    """Send every logger's lines to `stream`, from the settings' level on.
+    """Configure the root logger with the level of the settings.
 
     Parameters
     ----------
     settings : Settings
         `logging.level` and `instance.name` are used.
     stream : file object, optional
-        Standard output by default, with a `BoundedHandler`.
+        Destination of the lines. By default, a `BoundedHandler` writes to
+        standard output.
 
     Returns
     -------
     logging.Handler
-        The root logger's only handler from now on.
+        The new handler, which replaces all handlers of the root logger.
     """
     handler: logging.Handler
     if stream is None:
@@ -272,8 +278,8 @@
         handler = logging.StreamHandler(stream)
     handler.setFormatter(KeyValueFormatter(settings.instance.name))
     handler.addFilter(SecretFilter())
-    # Neither the caller's place in the source nor its thread and process are
-    # in a line; to look them up took a fifth of a line's cost.
+    # Lines contain neither the source location nor the thread and process of
+    # a log call. Looking them up took a fifth of the cost of a line.
     logging._srcfile = None
     logging.logThreads = logging.logProcesses = False
     logging.logMultiprocessing = False
--- a/src/amaranthslip/operated.py
+++ b/src/amaranthslip/operated.py
@@ -1,8 +1,9 @@
-"""One instance on a platform whose operator keeps the configuration.
+"""One instance on a platform whose operator maintains the configuration.
 
-Versions, backend servers and the other instances come from the platform's
-store; requests are for the operator's routes, and each instance chooses
-backend servers by itself, on what all told one another.
+Configuration versions, backend servers and the list of instances come from
+the platform's store. Requests are matched to the operator's routes. Each
+instance chooses backend servers by itself, based on the load that the
+instances report to one another.
 """
 
 import contextlib
@@ -70,18 +71,18 @@
     | member_messages.ProbeAnswer
     | member_messages.ProbeRequest
 )
-# Seconds between looks for backend servers that are gone, whose idle
-# connections are closed.
-_SWEEP_SECONDS = 2.0
+# Seconds between checks for removed backend servers, whose idle connections
+# are then closed.
+_CLEANUP_SECONDS = 2.0
 
 
 class OperatedRouter:
-    """One instance: callers' entry, member, and the operators' port.
+    """One instance: callers' entry, membership and operators' port.
 
     Parameters
     ----------
     settings : Settings
-        Of this process.
+        The settings of this process.
     """
 
     __slots__ = (
@@ -123,7 +124,7 @@
         self._build_membership()
         self._build_entry()
         self._monitoring = monitoring.Monitoring(
-            settings, self.is_ready, self._describe, self.metrics
+            settings, self.is_ready, self._describe_status, self.metrics
         )
 
     def _build_membership(self) -> None:
@@ -135,7 +136,7 @@
             self.metrics,
             member,
             self._receive,
-            on_connect=self._greet,
+            on_connect=self._list_initial_messages,
         )
         key_value = self._exits.enter_context(
             keyvalue.KeyValue(settings, self.metrics)
@@ -189,7 +190,7 @@
         self._pressure = pressure.Pressure(settings)
         self._engines = engines_module.Engines(self._directory, outliers)
         demands = demand.Demand(lambda: settings.bounds.share_window_seconds)
-        placement_ = placement.Placement(
+        server_placement = placement.Placement(
             settings.instance.failure_domain,
             self._holder,
             self._engines,
@@ -199,7 +200,7 @@
         self._keepers = keepers.Keepers(
             self._roster,
             self._links,
-            placement_,
+            server_placement,
             self._engines,
             outliers,
             self.metrics,
@@ -210,7 +211,7 @@
         )
         self._connections = connections.Connections(settings)
         self._reader = routed.RouteReader(settings, self._freshness)
-        forwarding_ = forwarding.Forwarding(
+        request_forwarding = forwarding.Forwarding(
             settings,
             self._reader,
             self._keepers,
@@ -226,18 +227,18 @@
             self.metrics,
             read_hold=lambda: self._pressure.hold_seconds,
         )
-        application_ = routing.RoutedApplication(
+        application = routing.RoutedApplication(
             settings,
             accounts.Accounts(self._holder),
             self._reader,
-            forwarding_,
+            request_forwarding,
             self._pressure,
             self.metrics,
             self._progress,
         )
         self._entry = entry_server.Server(
             settings.addresses.callers,
-            application_,
+            application,
             settings,
             self.metrics,
             self._progress,
@@ -246,17 +247,17 @@
 
     @property
     def callers_port(self) -> int:
-        """Where it listens for callers, with what a port of 0 became."""
+        """The port in use for callers; never 0."""
         return self._entry.server_port
 
     @property
     def operators_address(self) -> str:
-        """Where it listens for operators, as `IP:port`."""
+        """The address for operators, as `IP:port`."""
         return self._monitoring.address
 
     @property
     def readiness_address(self) -> str:
-        """Where the balancer asks, as `IP:port`."""
+        """The address of the load balancer's readiness check, as `IP:port`."""
         return self._readiness.address
 
     @property
@@ -266,15 +267,15 @@
 
     @property
     def reaches_store(self) -> bool:
-        """Whether the store answered the last call."""
+        """Whether the store answered the most recent call."""
         return self._follower.reaches_store
 
     def read_revision(self) -> int | None:
-        """Return the store's revision up to which all is in force."""
+        """Return the store revision up to which all changes are applied."""
         return self._follower.revision
 
     def start(self) -> None:
-        """Start every part; the entry comes last."""
+        """Start all components, with the callers' entry last."""
         for part in (
             self._links,
             self._detector,
@@ -291,7 +292,7 @@
                 self._instances.keep_listed, self._roster.member
             ),
             self._stored_quarantine.run,
-            self._sweep,
+            self._clean_up,
         ):
             self._exits.callback(gevent.spawn(task).kill)
         self._exits.callback(self._connections.close)
@@ -303,7 +304,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Return whether new callers should be sent here."""
+        """Return whether a load balancer should send new callers here."""
         return (
             not self._progress.stopping
             and self._holder.ready
@@ -313,49 +314,55 @@
         )
 
     def stop(self) -> bool:
-        """Stop gracefully: no request in progress is cut off.
+        """Stop gracefully, after the requests in progress have ended.
 
-        It goes on serving for `shutdown.notice_seconds`, not ready any
-        longer, until the balancer and the callers have turned elsewhere.
+        The instance reports that it is not ready, but continues to accept
+        requests for `shutdown.notice_seconds`, so that the load balancer and
+        the callers can switch to other instances.
 
         Returns
         -------
         bool
-            Whether every request ended within `shutdown.finish_seconds`.
+            Whether all requests ended within `shutdown.finish_seconds`.
         """
         shutdown = self._settings.shutdown
-        until = time.monotonic() + shutdown.finish_seconds
+        deadline = time.monotonic() + shutdown.finish_seconds
         _LOG.info('router_stopping', extra={'requests': self._progress.read()})
         self._progress.stopping = True
         gevent.sleep(shutdown.notice_seconds)
         self._progress.refusing = True
         self._detector.leave()
-        finished = self._progress.wait(max(0.0, until - time.monotonic()))
+        finished = self._progress.wait(max(0.0, deadline - time.monotonic()))
         _LOG.info('router_stopped', extra={'finished': finished})
         self.close()
         return finished
 
     def close(self) -> None:
-        """Close every part at once."""
+        """Close all components immediately."""
         self._exits.close()
 
     def reload(self, settings: settings_module.Settings) -> None:
-        """Take changed settings; addresses stay as they were at the start."""
-        for name in settings_module.RELOADED:
+        """Apply the reloadable sections of changed settings.
+
+        Addresses are only read at the start.
+        """
+        for name in settings_module.RELOADABLE_SECTIONS:
             setattr(self._settings, name, getattr(settings, name))
-        self._follow_limits()
+        self._apply_caller_limits()
         _LOG.info('settings_reloaded')
 
-    def _sweep(self) -> None:
+    def _clean_up(self) -> None:
         generation = -1
         while True:
-            generation = self._holder.wait(generation, timeout=_SWEEP_SECONDS)
-            self._follow_limits()
+            generation = self._holder.wait(
+                generation, timeout=_CLEANUP_SECONDS
+            )
+            self._apply_caller_limits()
             self._keepers.purge()
             servers = self._directory.list_all()
             self._connections.keep_only([each.address for each in servers])
 
-    def _follow_limits(self) -> None:
+    def _apply_caller_limits(self) -> None:
         limits = self._holder.document.caller_limits
         if limits is None:
             return
@@ -366,8 +373,8 @@
             keep_alive_seconds=limits.idle_seconds,
         )
 
-    def _describe(self) -> dict[str, typing.Any]:
-        """Return the status as values for JSON."""
+    def _describe_status(self) -> dict[str, typing.Any]:
+        """Return the status as JSON values."""
         return {
             'instance': self._roster.member.name,
             'ready': self.is_ready(),
@@ -391,7 +398,7 @@
             ],
         }
 
-    def _greet(self, name: str) -> list[object]:
+    def _list_initial_messages(self, name: str) -> list[object]:
         """Return the messages to send first on a new connection to a peer."""
         return self._crash_exchange.greet(name)
 
--- a/src/amaranthslip/process.py
+++ b/src/amaranthslip/process.py
@@ -1,4 +1,4 @@
-"""One instance as a process: its signals, and a settings file that changes."""
+"""Runs one instance as a process: signals and settings reload."""
 
 import contextlib
 import hashlib
@@ -16,8 +16,8 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Seconds between looks at the settings file, which may change unannounced.
-_LOOK_SECONDS = 2.0
+# Seconds between checks of the settings file, which may change without SIGHUP.
+_POLL_SECONDS = 2.0
 
 
 def run(settings: settings_module.Settings, path: pathlib.Path) -> bool:
@@ -26,38 +26,42 @@
     Parameters
     ----------
     settings : Settings
-        As read from `path`.
+        The settings read from `path`.
     path : Path
-        Read again on SIGHUP, and when its content changes.
+        The settings file. Its content is checked for changes on SIGHUP and
+        periodically; only an instance with an operator's configuration
+        reloads it.
 
     Returns
     -------
     bool
-        Whether every request in progress ended in time.
+        Whether all requests in progress ended in time.
     """
-    # Only what runs is imported: an instance that was killed is back the
-    # sooner, and smaller.
+    # Only the router in use is imported, which shortens the restart of a
+    # killed instance and reduces its memory.
     if settings.platform.configuration == 'own':
         router = importlib.import_module('amaranthslip.router')
         return _run_until_stopped(router.Router(settings))
     operated = importlib.import_module('amaranthslip.operated')
     instance = operated.OperatedRouter(settings)
     with contextlib.ExitStack() as stack:
-        watching = SettingsWatch(path, instance.reload)
-        handler = gevent.signal_handler(signal.SIGHUP, watching.look)
+        watcher = SettingsWatcher(path, instance.reload)
+        handler = gevent.signal_handler(
+            signal.SIGHUP, watcher.reload_if_changed
+        )
         stack.callback(handler.cancel)
-        stack.callback(gevent.spawn(watching.keep_looking).kill)
+        stack.callback(gevent.spawn(watcher.poll).kill)
         return _run_until_stopped(instance)
 
 
 class Instance(typing.Protocol):
-    """What runs: `router.Router` or `operated.OperatedRouter`."""
+    """The interface of `router.Router` and `operated.OperatedRouter`."""
 
     def start(self) -> None:
-        """Start every part."""
+        """Start all components."""
 
     def stop(self) -> bool:
-        """Stop gracefully; return whether every request ended."""
+        """Stop gracefully; return whether all requests ended."""
 
 
 def _run_until_stopped(instance: Instance) -> bool:
@@ -68,13 +72,14 @@
             stack.callback(handler.cancel)
         instance.start()
         stopped.wait()
-        # Still within the handlers: the platform may ask again, and without
-        # them the signal would end the process, and what is under way.
+        # The handlers stay installed during the stop. The platform may
+        # repeat the signal, whose default action would end the process and
+        # the requests in progress.
         return instance.stop()
 
 
-class SettingsWatch:
-    """Reads the settings file again when its content has changed."""
+class SettingsWatcher:
+    """Reloads the settings file when its content has changed."""
 
     __slots__ = ('_path', '_reload', '_digest')
 
@@ -87,14 +92,17 @@
         self._reload = reload
         self._digest = self._read_digest()
 
-    def keep_looking(self) -> None:
-        """Look for ever: changes may come without a signal."""
+    def poll(self) -> None:
+        """Check the file periodically until killed.
+
+        The file may change without a signal.
+        """
         while True:
-            gevent.sleep(_LOOK_SECONDS)
-            self.look()
+            gevent.sleep(_POLL_SECONDS)
+            self.reload_if_changed()
 
-    def look(self) -> None:
-        """Take the file if it changed; a wrong one changes nothing."""
+    def reload_if_changed(self) -> None:
+        """Reload the file if its content changed; ignore an invalid file."""
         digest = self._read_digest()
         if digest in (b'', self._digest):
             return
--- a/src/amaranthslip/router.py
+++ b/src/amaranthslip/router.py
@@ -1,4 +1,4 @@
-"""The router: one instance, put together."""
+"""Builds one instance from its components."""
 
 import contextlib
 import functools
@@ -75,12 +75,12 @@
 
 
 class Router:
-    """One instance: callers' entry, dispatcher, member and operators' port.
+    """One instance: callers' entry, dispatcher, membership, operators' port.
 
     Parameters
     ----------
     settings : Settings
-        Of this process.
+        The settings of this process.
 
     Examples
     --------
@@ -123,7 +123,7 @@
             self.metrics,
             member,
             self._receive,
-            on_connect=self._greet,
+            on_connect=self._list_initial_messages,
         )
         key_value = self._exits.enter_context(
             keyvalue.KeyValue(settings, self.metrics)
@@ -161,7 +161,7 @@
         )
 
     def start(self) -> None:
-        """Start every part; the entry comes last."""
+        """Start all components, with the callers' entry last."""
         self._exits.callback(self._claims.close)
         parts = (
             self._links,
@@ -188,12 +188,12 @@
         _LOG.info('router_started', extra={'callers': self._entry.address})
 
     def stop(self) -> bool:
-        """Stop gracefully: no request in progress is cut off.
+        """Stop gracefully, after the requests in progress have ended.
 
         Returns
         -------
         bool
-            Whether every request ended in time.
+            Whether all requests ended in time.
         """
         _LOG.info('router_stopping', extra={'requests': self._entry.running})
         self._console.announce_stop()
@@ -205,37 +205,45 @@
         return finished
 
     def close(self) -> None:
-        """Close every part at once."""
+        """Close all components immediately."""
         self._exits.close()
 
     def _build_quarantine(self, key_value: keyvalue.KeyValue) -> None:
-        quarantine_ = quarantine.Quarantine()
+        quarantined_requests = quarantine.Quarantine()
         self._stored_quarantine = quarantined.StoredQuarantine(
-            self._settings, key_value, quarantine_
+            self._settings, key_value, quarantined_requests
         )
         self._crash_exchange = crash_exchange.CrashExchange(
             self._roster,
             self._links,
-            quarantine_,
+            quarantined_requests,
             self._stored_quarantine,
             self.metrics,
         )
 
     def _build_dispatch(self) -> None:
-        owned = ownership.Ownership(self._settings, self._roster, self._holder)
+        server_ownership = ownership.Ownership(
+            self._settings, self._roster, self._holder
+        )
         self._scheduler = scheduler.Scheduler(
-            self._settings, owned, self._holder, self._links, self.metrics
+            self._settings,
+            server_ownership,
+            self._holder,
+            self._links,
+            self.metrics,
         )
         self._dispatcher = dispatcher.Dispatcher(
             self._settings,
-            owned,
+            server_ownership,
             self._holder,
             health.Health(self._settings, self.metrics),
             self._links,
             self.metrics,
         )
         self._loads = loads.LoadPoller(
-            self._settings, owned.list_owned, self._dispatcher.observe_load
+            self._settings,
+            server_ownership.list_owned,
+            self._dispatcher.observe_load,
         )
 
     def _build_membership(self) -> None:
@@ -245,7 +253,7 @@
             self._links,
             self.metrics,
             instance_list=self._instances,
-            heard_version=self._hear_version,
+            heard_version=self._record_version,
             read_version=self._read_version,
         )
 
@@ -263,18 +271,18 @@
             self.metrics,
         )
 
-    def _hear_version(self, name: str, version: int) -> None:
-        self._status.hear_version(name, version)
+    def _record_version(self, name: str, version: int) -> None:
+        self._status.record_version(name, version)
         self._spread.heard_version(name, version)
 
     def _read_version(self) -> int:
         return self._holder.document.version
 
-    def _greet(self, name: str) -> list[object]:
-        """Return what a peer should hear first on a new connection."""
-        question = self._dispatcher.build_question()
+    def _list_initial_messages(self, name: str) -> list[object]:
+        """Return the messages to send first on a new connection to a peer."""
+        restate_request = self._dispatcher.build_question()
         return [
-            question,
+            restate_request,
             *self._scheduler.restate(name),
             *self._crash_exchange.greet(name),
         ]
--- a/src/amaranthslip/settings.py
+++ b/src/amaranthslip/settings.py
@@ -1,7 +1,8 @@
-"""The settings of one process, read from TOML and checked whole.
+"""The settings of one process, read from TOML and fully validated.
 
-A process learns its addresses and its failure domain from here; everything
-that operators change while the fleet runs is in the configuration document.
+The settings contain what is specific to a process, such as its addresses and
+its failure domain. Values that operators change while the fleet runs are in
+the configuration document.
 """
 
 import copy
@@ -15,17 +16,17 @@
 
 
 class Kind:
-    """What one key may hold.
+    """The type and the allowed values of one key.
 
-    A few plain kinds, instead of schemas for a library: an instance that
-    starts again serves nobody while that library is loaded.
+    These classes replace a schema library, because importing that library
+    would delay the restart of an instance.
 
     Parameters
     ----------
     default : object
-        The value where the file has none.
+        The value of a key that the file does not contain.
     description : str
-        What is allowed, for a mistake's message.
+        The allowed values, for error messages.
     """
 
     __slots__ = ('default', 'description', 'required')
@@ -37,29 +38,29 @@
 
 
 class Number(Kind):
-    """A number between two others, in a unit; `whole`: an integer."""
+    """A number in a range and a unit; an integer if `integral` is true."""
 
-    __slots__ = ('low', 'high', 'whole')
+    __slots__ = ('minimum', 'maximum', 'integral')
 
     def __init__(
         self,
         default: float,
-        low: float,
-        high: float,
+        minimum: float,
+        maximum: float,
         unit: str,
         *,
-        whole: bool = False,
+        integral: bool = False,
     ) -> None:
-        super().__init__(default, f'{unit}, {low:g} to {high:g}')
-        self.low = low
-        self.high = high
-        self.whole = whole
+        super().__init__(default, f'{unit}, {minimum:g} to {maximum:g}')
+        self.minimum = minimum
+        self.maximum = maximum
+        self.integral = integral
 
 
 class Text(Kind):
-    """A text in which a pattern is found, of so many characters at most."""
+    """A text that contains a match of a pattern; its length may be limited."""
 
-    __slots__ = ('pattern', 'longest')
+    __slots__ = ('pattern', 'max_length')
 
     def __init__(
         self,
@@ -67,15 +68,15 @@
         description: str,
         *,
         default: str | None = None,
-        longest: int | None = None,
+        max_length: int | None = None,
     ) -> None:
         super().__init__(default, description)
         self.pattern = re.compile(pattern)
-        self.longest = longest
+        self.max_length = max_length
 
 
 class Choice(Kind):
-    """One of a few values."""
+    """One of several allowed values."""
 
     __slots__ = ('allowed',)
 
@@ -94,7 +95,7 @@
 
 
 class Table(Kind):
-    """Names with values of one kind."""
+    """A table of names and values, all of one kind."""
 
     __slots__ = ('values',)
 
@@ -105,24 +106,27 @@
 
 @functools.singledispatch
 def accepts(kind: Kind, value: object) -> bool:
-    """Return whether a value is one that a kind allows."""
-    raise TypeError(f'no check for {type(kind).__name__}; register one')
+    """Return whether a kind allows a value."""
+    raise TypeError(
+        f'accepts() has no implementation for {type(kind).__name__};'
+        ' register one'
+    )
 
 
 @accepts.register
 def _(kind: Number, value: object) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
-    if not kind.low <= value <= kind.high:
+    if not kind.minimum <= value <= kind.maximum:
         return False
-    return not kind.whole or value == int(value)
+    return not kind.integral or value == int(value)
 
 
 @accepts.register
 def _(kind: Text, value: object) -> bool:
     if not isinstance(value, str) or not kind.pattern.search(value):
         return False
-    return kind.longest is None or len(value) <= kind.longest
+    return kind.max_length is None or len(value) <= kind.max_length
 
 
 @accepts.register
@@ -144,11 +148,11 @@
 
 _ADDRESS = Text(
     r'^[0-9A-Fa-f.:\[\]]+:[0-9]{1,5}$',
-    'IP number and port, such as 10.0.0.5:7000',
+    'IP address and port, such as 10.0.0.5:7000',
 )
 _OPTIONAL_ADDRESS = Text(
     r'^([0-9A-Fa-f.:\[\]]+:[0-9]{1,5})?$',
-    'IP number and port, or nothing',
+    'IP address and port, or an empty text',
     default='',
 )
 _URL = Text(r'^https?://[^/]+', 'an http or https URL')
@@ -158,8 +162,8 @@
 )
 
 
-def _integer(default: int, low: int, high: int, unit: str) -> Number:
-    return Number(default, low, high, unit, whole=True)
+def _integer(default: int, minimum: int, maximum: int, unit: str) -> Number:
+    return Number(default, minimum, maximum, unit, integral=True)
 
 
 def _required(kind: Kind) -> Kind:
@@ -168,8 +172,8 @@
     return required
 
 
-# Section, key, kind. Seconds and bytes everywhere; each default is what
-# docs/OPERATIONS.md explains.
+# The kind of each key, by section. Units are part of the key names;
+# docs/OPERATIONS.md explains the defaults.
 SECTIONS: dict[str, dict[str, Kind]] = {
     'instance': {
         'name': _required(_NAME),
@@ -214,9 +218,10 @@
         'keep_alive_seconds': Number(75.0, 0.1, 3600, 'seconds'),
         'write_seconds': Number(30.0, 0.1, 600, 'seconds'),
         'answer_bytes': _integer(67108864, 1024, 1073741824, 'bytes'),
-        # Events of streams must be passed on within some 0.12 to 0.2 s, and
-        # first events come within 0.4 s or are late: what is accepted further
-        # behind comes out late, and makes what is under way late, too.
+        # Limit on the lag of the event loop at which requests are accepted.
+        # Stream events must be forwarded within about 0.12 to 0.2 s, and
+        # first events within 0.4 s. Requests accepted at a larger lag would
+        # miss these limits, and delay the requests in progress.
         'behind_seconds': Number(0.08, 0.01, 3600, 'seconds'),
     },
     'backends': {
@@ -230,7 +235,7 @@
         'retry_ratio': Number(0.2, 0, 1, 'retries for each request'),
         'lost_seconds': Number(10.0, 0.1, 600, 'seconds'),
     },
-    # What a platform's operator promises its users of all instances together.
+    # Guarantees of the platform's operator for the fleet as a whole.
     'bounds': {
         'fail_closed': Flag(True),
         'revoke_milliseconds': Number(5000, 100, 3600000, 'milliseconds'),
@@ -259,7 +264,7 @@
             '',
             'a text that all instances share',
             default='',
-            longest=256,
+            max_length=256,
         ),
         'dial_seconds': Number(2.0, 0.05, 60, 'seconds'),
         'lost_seconds': Number(6.0, 0.1, 600, 'seconds'),
@@ -279,7 +284,7 @@
 
 
 class Section:
-    """One checked section; its keys are its attributes."""
+    """One validated section, with its keys as attributes."""
 
     __slots__ = ('_values',)
 
@@ -293,17 +298,17 @@
             raise AttributeError(key) from None
 
     def replace(self, **values: typing.Any) -> 'Section':
-        """Return a section with some values changed."""
+        """Return a copy of the section with some values replaced."""
         return Section(self._values | values)
 
 
-# Sections that a running instance takes from a changed file. Addresses, and
-# what was built on them, stay until the next start.
-RELOADED = ('bounds', 'limits', 'backends', 'shutdown')
+# Sections that a running instance reloads from a changed file. Addresses, and
+# the objects that use them, only change at the next start.
+RELOADABLE_SECTIONS = ('bounds', 'limits', 'backends', 'shutdown')
 
 
 class Settings:
-    """Every setting of one process, checked and with its defaults."""
+    """All settings of one process, validated and with defaults applied."""
 
     __slots__ = tuple(SECTIONS)
 
@@ -317,12 +322,13 @@
 
 
 def read_settings(path: pathlib.Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     Raises
     ------
     SettingsInvalid
-        With one SettingError for each mistake, all at once.
+        The file is invalid; the group contains one SettingError for each
+        mistake.
     """
     try:
         values = tomllib.loads(path.read_text(encoding='utf-8'))
@@ -337,7 +343,7 @@
 def check_settings(
     values: dict[str, typing.Any], *, source: str = 'settings'
 ) -> Settings:
-    """Check parsed settings; see `read_settings`."""
+    """Validate parsed settings; raises the errors of `read_settings`."""
     mistakes = list(_find_mistakes(values, source))
     if mistakes:
         raise errors.SettingsInvalid('settings invalid', mistakes)
--- a/src/amaranthslip/status.py
+++ b/src/amaranthslip/status.py
@@ -1,4 +1,4 @@
-"""Status: what one instance knows of the fleet, for operators."""
+"""The status of the fleet as known to one instance, for operators."""
 
 import typing
 
@@ -9,21 +9,27 @@
 
 
 class Status:
-    """Gathers what the status page, the API and the command line show.
+    """Collects the status for the status page, API and command line.
 
     Parameters
     ----------
     members : Roster
-        Who is alive.
+        The members and their states.
     versions : Spread
-        The configuration in force here.
+        The configuration version in force at this instance.
     queues : Scheduler
-        What waits here.
+        The requests queued at this instance.
     slots : Dispatcher
         The backend servers that this instance owns.
     """
 
-    __slots__ = ('_members', '_versions', '_queues', '_slots', '_heard')
+    __slots__ = (
+        '_members',
+        '_versions',
+        '_queues',
+        '_slots',
+        '_reported_versions',
+    )
 
     def __init__(
         self,
@@ -36,17 +42,17 @@
         self._versions = versions
         self._queues = queues
         self._slots = slots
-        self._heard: dict[str, int] = {}
+        self._reported_versions: dict[str, int] = {}
 
-    def hear_version(self, name: str, version: int) -> None:
-        """Note which version a member said to have in force."""
-        self._heard[name] = version
+    def record_version(self, name: str, version: int) -> None:
+        """Record the version that a member reports to have in force."""
+        self._reported_versions[name] = version
 
     def describe(self) -> dict[str, typing.Any]:
         """Return the status as values for JSON."""
         versions = self._versions.describe()
         own = self._members.member.name
-        self._heard[own] = versions.version
+        self._reported_versions[own] = versions.version
         return {
             'instance': own,
             'ready': versions.ready,
@@ -60,5 +66,5 @@
         }
 
     def _describe_member(self, member: typing.Any) -> dict[str, typing.Any]:
-        version = self._heard.get(member.name, 0)
+        version = self._reported_versions.get(member.name, 0)
         return member.describe() | {'version': version}
--- a/tests/features/steps/logs.py
+++ b/tests/features/steps/logs.py
@@ -1,4 +1,4 @@
-"""Steps about log lines."""
+"""Steps for log lines."""
 
 import io
 import json
@@ -24,11 +24,11 @@
 
 @behave.given('the logs of the instance "{name}"')
 def configure_logs(context, name):
-    place = {'name': name, 'failure_domain': 'poa-a', 'region': 'rs-sul'}
+    instance = {'name': name, 'failure_domain': 'poa-a', 'region': 'rs-sul'}
     addresses = dict.fromkeys(('callers', 'operators', 'peers'), '127.0.0.1:1')
     platform = {'key_value': 'http://x'}
     checked = settings.check_settings(
-        {'instance': place, 'addresses': addresses, 'platform': platform}
+        {'instance': instance, 'addresses': addresses, 'platform': platform}
     )
     context.log_stream = io.StringIO()
     root = logging.getLogger()
@@ -43,7 +43,7 @@
     logging.getLogger('tests').info(event, extra={'request_id': name})
 
 
-@behave.when('the log gets an error that quotes {quoted}')
+@behave.when('an error is logged that quotes {quoted}')
 def write_error(context, quoted):
     try:
         raise ValueError(f'cannot read {quoted}')
@@ -56,12 +56,12 @@
     assert _read_pairs(context.log_stream.getvalue())[key] == value
 
 
-@behave.then('the log line\'s "{key}" holds "{value}"')
-def check_part(context, key, value):
+@behave.then('the log line\'s "{key}" contains "{value}"')
+def check_contained(context, key, value):
     assert value in _read_pairs(context.log_stream.getvalue())[key]
 
 
-@behave.then('no log line holds "{secret}"')
+@behave.then('no log line contains "{secret}"')
 def check_secret(context, secret):
     text = context.log_stream.getvalue()
     assert text and secret not in text, text
@@ -80,8 +80,8 @@
     context.bytes_read = b''
 
 
-@behave.given('a log into a pipe that nobody reads')
-@behave.given('a log into a pipe that is read')
+@behave.given('a log to a pipe whose reader stalls')
+@behave.given('a log to a pipe that is read')
 def open_log(context):
     _open_log(context)
 
@@ -108,14 +108,14 @@
         _write(context, f'event-{number} ' + 'x' * 200)
 
 
-@behave.then('the writer never waited, and what did not fit was counted')
+@behave.then('the writer did not block, and the dropped lines were counted')
 def check_dropped(context):
-    # Had it waited, this step would not have come.
+    # A blocked writer would never have reached this step.
     assert context.handler.dropped > 1000, context.handler.dropped
 
 
-@behave.when('the reader reads again')
-def read_again(context):
+@behave.when('the log reader resumes')
+def resume_reading(context):
     for _ in range(40):
         _read(context)
         gevent.sleep(0.06)
@@ -125,13 +125,15 @@
     _read(context)
 
 
-@behave.then('it gets whole lines only, and is told how many were dropped')
-def check_whole(context):
+@behave.then(
+    'the log reader gets only complete lines and the count of dropped lines'
+)
+def check_complete_lines(context):
     lines = context.bytes_read.decode().splitlines()
     assert all(line.startswith('time=') for line in lines)
-    told = [each for each in lines if 'log_lines_dropped' in each]
-    assert told
-    dropped = sum(int(_read_pairs(each)['lines']) for each in told)
+    reports = [each for each in lines if 'log_lines_dropped' in each]
+    assert reports
+    dropped = sum(int(_read_pairs(each)['lines']) for each in reports)
     events = [each for each in lines if 'event-' in each]
     assert len(events) + dropped == 5000, (len(events), dropped)
     assert 'event=last' in lines[-1]
@@ -144,14 +146,16 @@
         if number % 50 == 0:
             _read(context)
     _write(context, 'broken', logging.ERROR)
-    # Lines wait for others to be written with; a pipe takes 64 KiB at once.
+    # The handler buffers lines to write several together. A pipe holds 64 KiB,
+    # so reads and flushes alternate.
     for _ in range(3):
         _read(context)
         context.handler.flush()
 
 
 @behave.then(
-    '{count:d} lines and the error came through, and the rest was counted'
+    '{count:d} lines and the error were written, and the dropped lines were '
+    'counted'
 )
 def check_rate(context, count):
     lines = context.bytes_read.decode().splitlines()
--- a/tests/features/steps/settings.py
+++ b/tests/features/steps/settings.py
@@ -1,4 +1,4 @@
-"""Steps about the settings of one process."""
+"""Steps for the settings of one process."""
 
 import pathlib
 import re
@@ -35,15 +35,15 @@
 
 
 @behave.given(
-    'a settings file with an unknown key, a bad address and no region'
+    'a settings file with an unknown key, an invalid address and no region'
 )
-def write_mistaken_file(context):
+def write_invalid_file(context):
     text = _REQUIRED.replace('region = "rs-sul"\n', '')
     text = text.replace('127.0.0.1:7000', 'peers.example')
     _write(context, text + '[dispatch]\nspeed = 3\n')
 
 
-@behave.given('a settings file with only what is required')
+@behave.given('a settings file with only the required keys')
 def write_required_file(context):
     _write(context, _REQUIRED)
 
@@ -64,8 +64,8 @@
     assert set(context.settings_mistakes) == {first, second, third}
 
 
-@behave.then('each settings mistake says what is allowed')
-def check_remedies(context):
+@behave.then('each settings mistake states the allowed values')
+def check_allowed_values(context):
     for mistake in context.settings_mistakes.values():
         assert mistake.allowed in str(mistake), mistake
         assert str(context.settings_path) in str(mistake), mistake
@@ -83,10 +83,10 @@
     context.settings_path = examples / deployment / 'router.toml'
 
 
-@behave.then('the settings place is "{place}" in "{region}"')
-def check_place(context, place, region):
+@behave.then('the settings have the failure domain "{domain}" in "{region}"')
+def check_failure_domain(context, domain, region):
     instance = context.settings.instance
-    assert (instance.failure_domain, instance.region) == (place, region)
+    assert (instance.failure_domain, instance.region) == (domain, region)
 
 
 @behave.given('a settings file that a running instance watches')
@@ -97,27 +97,27 @@
     def reload(changed):
         context.running = changed
 
-    context.watch = process.SettingsWatch(context.settings_path, reload)
+    context.watcher = process.SettingsWatcher(context.settings_path, reload)
 
 
-@behave.when('the file changes to a "{key}" of {value:d}')
+@behave.when('the settings file changes to a "{key}" of {value:d}')
 def change_file(context, key, value):
     context.settings_path.write_text(f'{_REQUIRED}[bounds]\n{key} = {value}\n')
-    context.watch.look()
+    context.watcher.reload_if_changed()
 
 
-@behave.when('the file is gone for a while')
+@behave.when('the settings file is removed')
 def remove_file(context):
     context.settings_path.unlink()
-    context.watch.look()
+    context.watcher.reload_if_changed()
 
 
-@behave.then('the instance goes by a "{key}" of {value:d}')
+@behave.then('the running instance uses a "{key}" of {value:d}')
 def check_running(context, key, value):
     assert getattr(context.running.bounds, key) == value
 
 
-# What the platform fills in, by the names of the template.
+# The values that the platform inserts, by their names in the template.
 _RENDERED = {
     'node_name': '"edge-poa-a-1"',
     'zone': '"poa-a"',
@@ -138,7 +138,7 @@
 
 
 def _render(template, values):
-    """Fill a template in as the platform does, as far as it is used."""
+    """Fill in a template with the subset of the syntax that it uses."""
     text = _SECTION.sub(
         lambda found: found[2] if found[1] in values else '', template
     )
@@ -168,7 +168,7 @@
     _read_rendered(context, _RENDERED)
 
 
-@behave.when('it is filled in for a deployment that sets no bounds')
+@behave.when('the template is filled in for a deployment without bounds')
 def render_without_bounds(context):
     _read_rendered(
         context,
@@ -186,7 +186,7 @@
     assert context.settings.platform.configuration == 'operator'
 
 
-_LOAD = """
+_IMPORT_SCRIPT = """
 import sys
 sys.argv = ['amaranthslip', 'router', '/nowhere']
 from amaranthslip import __main__
@@ -197,18 +197,20 @@
 """
 
 
-@behave.when("a process loads what a router on an operator's platform needs")
-def load(context):
+@behave.when(
+    "a process imports the modules of a router on an operator's platform"
+)
+def import_router(context):
     done = subprocess.run(
-        [sys.executable, '-c', _LOAD],
+        [sys.executable, '-c', _IMPORT_SCRIPT],
         capture_output=True,
         text=True,
         check=True,
     )
-    context.loaded = set(done.stdout.split())
+    context.imported = set(done.stdout.split())
 
 
-@behave.then('it has loaded none of {names}')
-def check_loaded(context, names):
-    found = context.loaded & set(names.split(', '))
+@behave.then('the process has imported none of {names}')
+def check_imports(context, names):
+    found = context.imported & set(names.split(', '))
     assert not found, found
