--- a/src/amaranthslip/__main__.py
+++ b/src/amaranthslip/__main__.py
@@ -1,10 +1,10 @@
-"""The program's entry, for `python -m amaranthslip` and the binary alike.
+"""The entry point of `python -m amaranthslip` and of the packaged binary.
 
 gevent replaces the blocking calls of the standard library here, before any
-other module is imported. A module that was imported earlier would keep the
-real `socket`, `ssl`, `threading` or `time.sleep` under the names it took,
-and its first wait would hold up every greenlet of the process: one slow peer
-and no caller is answered.
+other module is imported. A module that is imported earlier would keep
+references to the unpatched `socket`, `ssl`, `threading` or `time.sleep`. Its
+first blocking call would block every greenlet of the process, so that a
+single slow peer would stop the answers to all callers.
 """
 
 import importlib
@@ -16,9 +16,10 @@
 _ARGUMENTS = sys.argv[1:]
 
 if _ARGUMENTS[:1] == ['router']:
-    # A hang-up tells an instance that its settings have changed, and ends a
-    # process that does not expect it. Loading the rest takes some tenths of
-    # a second; an instance that comes up reads the changed file anyhow.
+    # SIGHUP notifies an instance that its settings have changed, and ends a
+    # process without a handler. The signal is ignored during the imports,
+    # which take some tenths of a second; the starting instance reads the
+    # changed file in any case.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 from gevent import monkey  # noqa: E402
@@ -27,14 +28,15 @@
 
 
 def main() -> None:
-    """Run the command line and exit with its code."""
+    """Run the command line and exit with its exit code."""
     sys.exit(_run(_ARGUMENTS))
 
 
 def _run(arguments: typing.Sequence[str]) -> int:
     match arguments:
         case ['router', path] if not path.startswith('-'):
-            # The plain call of an instance, which is to be ready soon.
+            # Start an instance without importing the argument parser, so
+            # that the instance is ready sooner.
             starting = importlib.import_module(
                 'amaranthslip.commands.starting'
             )
--- a/src/amaranthslip/errors.py
+++ b/src/amaranthslip/errors.py
@@ -1,11 +1,11 @@
-"""Every error kind that amaranthslip raises on purpose.
+"""The exceptions that amaranthslip raises.
 
-Each message says what happened and what to do about it.
+Each message states what happened and how to resolve the problem.
 """
 
 
 class AmaranthslipError(Exception):
-    """The base of every error kind here."""
+    """The base class of all exceptions in this module."""
 
 
 class SettingError(AmaranthslipError):
@@ -24,23 +24,23 @@
 
 
 class SettingsInvalid(ExceptionGroup):
-    """All the mistakes of one settings file or document, together."""
+    """All mistakes in one settings file or document."""
 
     def derive(self, excs: list[Exception]) -> 'SettingsInvalid':
         return SettingsInvalid(self.message, excs)
 
 
 class RequestRefused(AmaranthslipError):
-    """A request that was not run, and never will be under this answer.
+    """A request that was not run and will not be run by this system.
 
     Parameters
     ----------
     reason : str
-        The word that counters and the answer's JSON body carry.
+        The reason in counters and in the answer's JSON body.
     message : str
         What happened and what the caller can do.
     status : int
-        The HTTP status that the entry answers with.
+        The HTTP status of the answer.
     retry_after : float or None
         Seconds after which a retry makes sense.
     """
@@ -60,7 +60,7 @@
 
 
 class OutcomeUnknown(AmaranthslipError):
-    """A request that may have run: its answer is not known."""
+    """A request that may have run and whose answer is not known."""
 
     def __init__(self, reason: str, message: str) -> None:
         super().__init__(message)
@@ -68,16 +68,16 @@
 
 
 class RequestRepeated(AmaranthslipError):
-    """An idempotency key that came before: not run a second time.
+    """A request that was not run because its idempotency key was used before.
 
     Parameters
     ----------
     reason : str
-        `in_progress` or `already_done`, for counters and the answer's body.
+        `in_progress` or `already_done`, in counters and the answer's body.
     message : str
-        What is known of the first request and what the caller can do.
+        The state of the first request and what the caller can do.
     retry_after : float or None
-        Seconds after which more will be known.
+        Seconds after which the state of the first request may have changed.
     """
 
     status = 409
@@ -91,23 +91,27 @@
 
 
 class PlatformError(AmaranthslipError):
-    """The platform's service gave no usable answer."""
+    """A service of the platform gave no usable answer."""
 
 
 class PlatformUnavailable(PlatformError):
-    """The call surely had no effect: no connection was made."""
+    """The call had no effect.
+
+    No connection could be made, or the service refused the call with status
+    429 or 503. A read also raises this error if its answer was lost.
+    """
 
 
 class AnswerLost(PlatformError):
-    """The call may have taken effect: its answer did not arrive."""
+    """The call may have taken effect, but its answer did not arrive."""
 
 
 class PlatformRefused(PlatformError):
-    """The service refused the call itself, which had no effect."""
+    """The service refused the call as invalid; the call had no effect."""
 
 
 class HistoryLost(PlatformError):
-    """The service no longer holds the changes that a watch asked for."""
+    """The service no longer stores the changes that a watch requested."""
 
 
 class ConfigurationConflict(AmaranthslipError):
@@ -116,13 +120,13 @@
     Parameters
     ----------
     message : str
-        Both versions, and what to do.
+        The two versions, and how to resolve the conflict.
     base, current : int
-        The version that the submission was made from, and the accepted one.
+        The version on which the submission is based, and the accepted one.
     difference : differences.Difference or None
-        What the submission would change in the accepted version.
+        The changes of the submission relative to the accepted version.
     theirs : differences.Difference or None
-        What the accepted version changed since the base, if that is known.
+        The changes from the base to the accepted version, if known.
     """
 
     def __init__(
@@ -142,13 +146,13 @@
 
 
 class MessageInvalid(AmaranthslipError):
-    """Bytes from a peer that are no message of this version."""
+    """Bytes from a peer that are not a valid message of this version."""
 
 
 class ConfigurationRefused(AmaranthslipError):
-    """A submission that surely did not take effect, and why.
+    """A submission that did not take effect.
 
-    `reason` is the word that counters and the API's answer carry.
+    `reason` is the reason in counters and in the API's answer.
     """
 
     def __init__(self, reason: str, message: str) -> None:
@@ -157,10 +161,10 @@
 
 
 class ConfigurationUnknown(AmaranthslipError):
-    """A submission that may have been accepted: the answer was lost.
+    """A submission that may have been accepted, because the answer was lost.
 
-    `submission` is its random id: whether the manifest or its history shows
-    that id is how to find out.
+    `submission` is the submission's random id. The submission was accepted
+    if the manifest or its history contains this id.
     """
 
     def __init__(self, message: str, *, submission: str, version: int) -> None:
@@ -170,22 +174,23 @@
 
 
 class ConfigurationDamaged(AmaranthslipError):
-    """A stored or received version that can't be read whole."""
+    """A stored or received version that can't be decoded completely."""
 
 
 class BackendFailed(AmaranthslipError):
-    """A backend server gave no whole answer to one try of a request.
+    """A backend server gave no complete answer to one try of a request.
 
     Parameters
     ----------
     reason : str
-        The word that counters carry.
+        The reason in counters.
     message : str
         What happened and what the caller can do.
     sent : bool
-        Whether a byte of the request may have left; False is certain.
+        Whether any byte of the request may have been sent. False means that
+        none was.
     status : int
-        The HTTP status that fits when no retry is left.
+        The HTTP status of the answer if the request is not retried.
     """
 
     def __init__(
@@ -198,8 +203,8 @@
 
 
 class RouterUnreachable(AmaranthslipError):
-    """No connection to a router's operators' port could be made."""
+    """No connection to the operators' port of a router could be made."""
 
 
 class OperatorRefused(AmaranthslipError):
-    """The operator's name, password or role does not allow the request."""
+    """The operator's name, password or role does not permit the request."""
--- a/src/amaranthslip/listening.py
+++ b/src/amaranthslip/listening.py
@@ -1,4 +1,4 @@
-"""A small HTTP server of one application, apart from callers' traffic."""
+"""An HTTP server for one application, separate from callers' traffic."""
 
 import contextlib
 import typing
@@ -6,9 +6,10 @@
 from gevent import pool
 from gevent import pywsgi
 
-# Connections at once: a balancer and a collector of metrics ask once in a
-# while; a stranger who opens many must not take the process's descriptors.
-_CONNECTIONS = 50
+# Simultaneous connections. A load balancer and a metrics collector connect
+# occasionally; the limit prevents another client from using up the process's
+# file descriptors.
+_MAX_CONNECTIONS = 50
 
 Application = typing.Callable[
     [dict[str, typing.Any], typing.Callable[..., typing.Any]], list[bytes]
@@ -16,12 +17,12 @@
 
 
 class SmallServer:
-    """Listens at one address.
+    """Serves a WSGI application at one address.
 
     Parameters
     ----------
     address : str
-        IP number and port; port 0: any free one.
+        IP address and port; port 0 selects any free port.
     application : callable
         A WSGI application.
     """
@@ -34,19 +35,19 @@
         self._server = pywsgi.WSGIServer(
             (host.strip('[]'), int(port)),
             application,
-            spawn=pool.Pool(_CONNECTIONS),
+            spawn=pool.Pool(_MAX_CONNECTIONS),
             log=None,
             error_log=None,
         )
 
     @property
     def address(self) -> str:
-        """Where it listens, as `IP:port`, with what a port of 0 became."""
+        """The listening address as `IP:port`, with the port in use."""
         host, port = self._server.address[:2]
         return f'[{host}]:{port}' if ':' in host else f'{host}:{port}'
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server.start()
         self._exits.callback(self._server.stop, timeout=0)
 
--- a/src/amaranthslip/metrics.py
+++ b/src/amaranthslip/metrics.py
@@ -7,12 +7,12 @@
 from prometheus_client import core
 
 _PREFIX = 'amaranthslip_'
-_LEAST_MICROSECONDS = 1
-_MOST_MICROSECONDS = 3600 * 1000000
-_DIGITS = 2
+_MIN_LATENCY_MICROSECONDS = 1
+_MAX_LATENCY_MICROSECONDS = 3600 * 1000000
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50.0, 95.0, 99.0)
 
-# Name: what it counts, and the name of its one label.
+# By metric name: the help text and the name of the metric's only label.
 COUNTERS = {
     'requests': ('Requests that ended, by how', 'outcome'),
     'refusals': ('Requests refused and not run', 'reason'),
@@ -55,7 +55,7 @@
 
 
 class Metrics:
-    """What one instance counts; rendered in the Prometheus text format."""
+    """The metrics of one instance, exported in the Prometheus text format."""
 
     __slots__ = ('_registry', '_counters', '_gauges', '_histograms')
 
@@ -75,29 +75,31 @@
         }
         self._histograms = {
             name: histogram.HdrHistogram(
-                _LEAST_MICROSECONDS, _MOST_MICROSECONDS, _DIGITS
+                _MIN_LATENCY_MICROSECONDS,
+                _MAX_LATENCY_MICROSECONDS,
+                _SIGNIFICANT_DIGITS,
             )
             for name in HISTOGRAMS
         }
         self._registry.register(self)
 
     def count(self, name: str, label: str, amount: float = 1) -> None:
-        """Add to the counter `name` under the value of its one label."""
+        """Add to the counter `name` with the label value `label`."""
         self._counters[name].labels(label).inc(amount)
 
     def read(self, name: str, label: str) -> float:
-        """Return what a counter holds, for status pages and tests."""
+        """Return the value of a counter, for status pages and tests."""
         return self._counters[name].labels(label)._value.get()
 
     def set_gauge(self, name: str, label: str, value: float) -> None:
-        """Set the gauge `name` under the value of its one label."""
+        """Set the gauge `name` with the label value `label`."""
         self._gauges[name].labels(label).set(value)
 
     def record(self, name: str, seconds: float, *, count: int = 1) -> None:
-        """Record one latency, in seconds, or several equal ones."""
+        """Record a latency in seconds, `count` times."""
         micros = int(seconds * 1e6)
         self._histograms[name].record_value(
-            max(micros, _LEAST_MICROSECONDS), count
+            max(micros, _MIN_LATENCY_MICROSECONDS), count
         )
 
     def collect(self) -> typing.Iterator[core.Metric]:
@@ -120,5 +122,5 @@
             yield family
 
     def render(self) -> bytes:
-        """Return everything in the Prometheus text format."""
+        """Return all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
--- a/src/amaranthslip/pauses.py
+++ b/src/amaranthslip/pauses.py
@@ -1,26 +1,26 @@
-"""Pauses: how a loop waits, and is woken."""
+"""Waits of background loops, which other greenlets can end early."""
 
 import gevent
 from gevent import event
 
 
 class Pauses:
-    """Waits in real time; tests put a virtual one in its place."""
+    """Waits in real time; tests use an implementation with virtual time."""
 
-    __slots__ = ('_woken',)
+    __slots__ = ('_wake_event',)
 
     def __init__(self) -> None:
-        self._woken = event.Event()
+        self._wake_event = event.Event()
 
     def sleep(self, seconds: float) -> None:
-        """Wait so long, in seconds, whatever happens."""
+        """Wait for `seconds`; calls of `wake` do not end this wait."""
         gevent.sleep(max(0.0, seconds))
 
     def wait(self, seconds: float) -> None:
-        """Wait so long, in seconds, or until `wake` is called."""
-        self._woken.clear()
-        self._woken.wait(max(0.0, seconds))
+        """Wait for `seconds` or until `wake` is called."""
+        self._wake_event.clear()
+        self._wake_event.wait(max(0.0, seconds))
 
     def wake(self) -> None:
-        """End the wait, if there is one."""
-        self._woken.set()
+        """End the current `wait`, if any."""
+        self._wake_event.set()
