--- a/src/amaranthslip/configuration/__init__.py
+++ b/src/amaranthslip/configuration/__init__.py
@@ -1,8 +1,8 @@
 """Configuration: the document, its parts and its versions.
 
-The public names are imported when they are first asked for: an instance whose
-platform keeps the configuration needs none of the store, and starts a fifth
-of a second sooner without it.
+The public names are imported lazily, on first access. An instance whose
+configuration is kept by the platform does not need the store, and starts
+0.2 s faster without importing it.
 """
 
 import importlib
--- a/src/amaranthslip/configuration/collection.py
+++ b/src/amaranthslip/configuration/collection.py
@@ -1,19 +1,20 @@
-"""Collects parts that no version names any longer.
-
-A writer that was paused may hold parts that it is about to name. The rule
-that keeps the two apart needs no clock:
-
-1. the collector reads the manifest, and lists parts that neither it nor its
-   history names, with their revisions;
-2. it swaps the manifest for one that differs in `collections` only, so that
-   the swap of every writer that read the manifest before fails;
-3. it deletes those parts, each only at the revision that was listed.
-
-A writer that reads the manifest after step 2 writes each part again that
-the manifest does not name, which changes the revision: step 3 passes it by,
-or has deleted it before and the writer's write brings it back. Age only
-spares readers that are slow: a part goes once it was seen unreferenced for
-the grace period.
+"""Garbage collection of parts that no known version references.
+
+A paused writer may have written parts that its manifest does not reference
+yet. The following protocol protects those parts without relying on clocks:
+
+1. The collector reads the manifest and lists the parts that neither the
+   accepted version nor the history references, with their revisions.
+2. It swaps the manifest for one that differs in `collections` only. The swap
+   of every writer that read the manifest earlier then fails.
+3. It deletes the listed parts, each only if it still has the listed revision.
+
+A writer that reads the manifest after step 2 rewrites every part of its
+version that the manifest does not reference. If step 3 has not deleted such
+a part yet, its new revision prevents the deletion; otherwise the writer's
+write restores it. The grace period is not needed for this protocol. It only
+protects slow readers: a part is deleted after it was seen unreferenced for
+the whole grace period.
 """
 
 import time
@@ -29,19 +30,20 @@
 
 
 class Collector:
-    """Finds and deletes unreferenced parts, a pass at a time.
+    """Finds and deletes unreferenced parts, one pass at a time.
 
     Parameters
     ----------
     store : Store
-        Where the versions are.
+        The store that holds the versions.
     metrics : Metrics
-        Counts what was collected.
+        Counts the deleted parts.
     grace_seconds : float
-        How long a part must have been seen unreferenced.
+        How long a part must be seen unreferenced before it is deleted, in
+        seconds.
     """
 
-    __slots__ = ('_store', '_metrics', '_grace_seconds', '_seen')
+    __slots__ = ('_store', '_metrics', '_grace_seconds', '_unreferenced')
 
     def __init__(
         self,
@@ -53,26 +55,27 @@
         self._store = store
         self._metrics = metrics
         self._grace_seconds = grace_seconds
-        self._seen: dict[str, _Sighting] = {}
+        self._unreferenced: dict[str, _UnreferencedPart] = {}
 
     def collect(self) -> int:
-        """Run one pass; returns the number of parts deleted.
+        """Run one pass and return the number of deleted parts.
 
         Raises
         ------
         PlatformError
-            The service gave no answer; the next pass starts anew.
+            The key-value service returned no usable answer. The next pass
+            starts from the beginning.
         """
         stored = self._store.read_manifest()
         if stored.manifest is None:
             return 0
         referenced = self._list_referenced(stored.manifest)
-        ripe = self._find_ripe(referenced)
-        if not ripe:
+        expired = self._find_expired(referenced)
+        if not expired:
             return 0
-        if not self._fence(stored):
+        if not self._fence_writers(stored):
             return 0
-        deleted = sum(self._store.delete_part(entry) for entry in ripe)
+        deleted = sum(self._store.delete_part(entry) for entry in expired)
         self._metrics.count('configuration', 'part_collected', deleted)
         return deleted
 
@@ -86,42 +89,45 @@
                 referenced.update(index.digests)
         return referenced
 
-    def _find_ripe(self, referenced: set[str]) -> list[keyvalue.Entry]:
+    def _find_expired(self, referenced: set[str]) -> list[keyvalue.Entry]:
         now = time.monotonic()
-        ripe, seen = [], {}
-        for digit in _HEX_DIGITS:
-            for entry in self._store.list_parts(digit):
+        expired, unreferenced = [], {}
+        for digest_prefix in _HEX_DIGITS:
+            for entry in self._store.list_parts(digest_prefix):
                 if self._store.get_digest(entry) in referenced:
                     continue
-                before = self._seen.get(entry.key)
-                if before is None or before.revision != entry.revision:
-                    before = _Sighting(entry.revision, now)
-                seen[entry.key] = before
-                if now - before.since >= self._grace_seconds:
-                    ripe.append(entry)
-        self._seen = seen
-        return ripe
-
-    def _fence(self, stored: store_module.StoredManifest) -> bool:
-        """Fail the swaps of writers that read the manifest before now."""
+                record = self._unreferenced.get(entry.key)
+                if record is None or record.revision != entry.revision:
+                    record = _UnreferencedPart(entry.revision, now)
+                unreferenced[entry.key] = record
+                if now - record.first_seen >= self._grace_seconds:
+                    expired.append(entry)
+        self._unreferenced = unreferenced
+        return expired
+
+    def _fence_writers(self, stored: store_module.StoredManifest) -> bool:
+        """Make the swaps of writers that already read the manifest fail."""
         assert stored.manifest is not None
-        fenced = manifests.Manifest(
+        successor = manifests.Manifest(
             accepted=stored.manifest.accepted,
             history=stored.manifest.history,
             collections=stored.manifest.collections + 1,
         )
         try:
-            return self._store.swap_manifest(fenced, expected=stored.revision)
+            return self._store.swap_manifest(
+                successor, expected=stored.revision
+            )
         except errors.AnswerLost:
-            # It may have held or not: without the fence nothing is deleted.
+            # The outcome of the swap is unknown. Parts are deleted only
+            # after a swap that is known to have succeeded.
             return False
 
 
-class _Sighting:
+class _UnreferencedPart:
     """The revision at which a part was first seen unreferenced, and when."""
 
-    __slots__ = ('revision', 'since')
+    __slots__ = ('revision', 'first_seen')
 
-    def __init__(self, revision: int, since: float) -> None:
+    def __init__(self, revision: int, first_seen: float) -> None:
         self.revision = revision
-        self.since = since
+        self.first_seen = first_seen
--- a/src/amaranthslip/configuration/differences.py
+++ b/src/amaranthslip/configuration/differences.py
@@ -1,13 +1,13 @@
-"""What differs between two documents, by section, item and field."""
+"""Comparison of two documents by section, item and field."""
 
 import typing
 
 from amaranthslip.configuration import document
 from amaranthslip.configuration import pacing
 
-# Hashes of secrets: that they changed is shown, what they are is not.
-_HIDDEN = frozenset({'keys', 'password'})
-_HIDDEN_TEXT = '(not shown)'
+# Fields that hold hashes of secrets: a change is shown without the values.
+_SECRET_FIELDS = frozenset({'keys', 'password'})
+_REDACTED_TEXT = '(not shown)'
 
 ADDED = 'added'
 REMOVED = 'removed'
@@ -15,7 +15,7 @@
 
 
 class FieldChange:
-    """One field of an item, before and after."""
+    """The values of one field of an item before and after a change."""
 
     __slots__ = ('name', 'before', 'after')
 
@@ -47,15 +47,15 @@
         text = f'{self.section} {self.name}: {self.kind}'
         if not self.fields:
             return text
-        shown = ', '.join(
+        field_texts = ', '.join(
             f'{field.name} {field.before} -> {field.after}'
             for field in self.fields
         )
-        return f'{text} ({shown})'
+        return f'{text} ({field_texts})'
 
 
 class Difference:
-    """Every change from one document to another, in the sections' order."""
+    """All changes from one document to another, ordered by section."""
 
     __slots__ = ('changes',)
 
@@ -70,10 +70,11 @@
 
 
 def compare(before: document.Document, after: document.Document) -> Difference:
-    """Return what changes from `before` to `after`.
+    """Return the changes from `before` to `after`.
 
-    The order of request kinds counts, because the first that matches is
-    taken: a kind that moved is shown as changed in `place`.
+    The order of request kinds matters, because a request belongs to the
+    first kind that matches it. A kind whose position changed is reported as
+    a change of `place`.
     """
     pacer = pacing.Pacer()
     changes: list[Change] = []
@@ -112,8 +113,8 @@
         before, after = getattr(old, name), getattr(new, name)
         if before == after:
             continue
-        if name in _HIDDEN:
-            before = after = _HIDDEN_TEXT
+        if name in _SECRET_FIELDS:
+            before = after = _REDACTED_TEXT
         yield FieldChange(name=name, before=before, after=after)
 
 
@@ -122,16 +123,16 @@
 ) -> typing.Iterator[Change]:
     kept_before = [name for name in old if name in new]
     kept_after = [name for name in new if name in old]
-    for place, name in enumerate(kept_after):
-        if kept_before[place] != name:
-            moved = FieldChange(
+    for position, name in enumerate(kept_after):
+        if kept_before[position] != name:
+            position_change = FieldChange(
                 name='place',
                 before=kept_before.index(name) + 1,
-                after=place + 1,
+                after=position + 1,
             )
             yield Change(
                 section='request_kinds',
                 name=name,
                 kind=CHANGED,
-                fields=[moved],
+                fields=[position_change],
             )
--- a/src/amaranthslip/configuration/document.py
+++ b/src/amaranthslip/configuration/document.py
@@ -1,4 +1,4 @@
-"""The configuration document: what operators decide, as plain objects."""
+"""The configuration document: the operators' settings as plain objects."""
 
 import typing
 
@@ -13,7 +13,7 @@
 
 
 class FailureDomain:
-    """A place whose instances and backend servers fail together."""
+    """A zone whose instances and backend servers can fail together."""
 
     __slots__ = ('name', 'region')
 
@@ -23,9 +23,9 @@
 
 
 class Service:
-    """A set of backend servers that answer the same requests.
+    """A set of backend servers that serve the same requests.
 
-    `prompt_weight` is what one prompt token costs, in generated tokens.
+    `prompt_weight` is the cost of one prompt token, in generated tokens.
     """
 
     __slots__ = ('name', 'kind', 'prompt_weight')
@@ -43,10 +43,10 @@
 
 
 class OperatedService(Service):
-    """A service as a platform's operator describes it.
+    """A service as described by a platform's operator.
 
-    `cache_tokens` is how many tokens one engine's memory holds, of running
-    requests and cached prompts together; 0: unknown.
+    `cache_tokens` is the number of tokens that fit into the memory of one
+    engine, for running requests and cached prompts together; 0 if unknown.
     """
 
     __slots__ = ('cache_tokens',)
@@ -57,9 +57,12 @@
 
 
 class BackendServer:
-    """One engine or plain server: `slots` requests at once, at most."""
+    """One engine or plain server.
 
-    # Servers that do not register themselves have no incarnation.
+    `slots` is the maximum number of concurrent requests.
+    """
+
+    # Servers that do not register themselves have no incarnation number.
     incarnation = 0
 
     __slots__ = (
@@ -95,8 +98,9 @@
 class ListedServer(BackendServer):
     """A backend server that registered itself with the platform.
 
-    `incarnation` tells one start of it from the next under the same name;
-    what was known of an earlier one, such as its cache, is then void.
+    `incarnation` distinguishes successive starts of a server under the same
+    name. State recorded for an earlier incarnation, such as the content of
+    its cache, no longer applies.
     """
 
     __slots__ = ('incarnation',)
@@ -126,9 +130,10 @@
 class RequestKind:
     """A kind of request that client accounts send to one service.
 
-    A plain service's request is of the first kind whose `method` and
-    `path_prefix` it matches; a model service's request names its kind in
-    the header `X-Request-Kind`, or is of the service's first kind.
+    A request to a plain service belongs to the first kind whose `method` and
+    `path_prefix` match. A request to a model service names its kind in the
+    header `X-Request-Kind`; without the header it belongs to the first kind
+    of the service.
     """
 
     __slots__ = (
@@ -162,9 +167,10 @@
 
 
 class ClientAccount:
-    """Who sends requests, and the share of each service they are due.
+    """A sender of requests, with its entitled share of each service.
 
-    `keys` holds `sha256:` and the hexadecimal hash of each bearer key.
+    `keys` holds one entry per bearer key: `sha256:` followed by the
+    hexadecimal hash of the key.
     """
 
     __slots__ = (
@@ -195,9 +201,9 @@
 
 
 class Operator:
-    """A person or program that may see or change the configuration.
+    """A person or program that may view or change the configuration.
 
-    `password` is a salted hash in werkzeug.security's form.
+    `password` is a salted hash in the format of werkzeug.security.
     """
 
     __slots__ = ('name', 'role', 'password')
@@ -211,9 +217,10 @@
 class Document:
     """One version of the whole configuration.
 
-    `routes`, `caller_limits` and `token_rate` (prompt tokens read, plus
-    twice those generated, that all engines manage in a second; 0: unknown)
-    come from a platform whose operator keeps the configuration.
+    `routes`, `caller_limits` and `token_rate` are set only where the
+    platform's operator maintains the configuration. `token_rate` is the
+    total throughput of all engines per second, as prompt tokens plus twice
+    the generated tokens; 0 if unknown.
     """
 
     __slots__ = (
@@ -268,7 +275,7 @@
 def build_document(
     values: dict[str, list[dict[str, typing.Any]]], *, version: int = 0
 ) -> Document:
-    """Build a document from values that were validated before."""
+    """Build a document from values that are already validated."""
     sections = {
         name: [section_class(**each) for each in values.get(name, [])]
         for name, section_class in SECTION_CLASSES.items()
--- a/src/amaranthslip/configuration/files.py
+++ b/src/amaranthslip/configuration/files.py
@@ -1,4 +1,4 @@
-"""Document files: TOML for people, JSON for automation."""
+"""Reading of document files in TOML or JSON."""
 
 import json
 import pathlib
@@ -10,12 +10,12 @@
 
 
 def read_values(path: pathlib.Path) -> object:
-    """Parse a document file; its ending `.json` or `.toml` decides how.
+    """Parse a document file: as JSON if it ends in `.json`, else as TOML.
 
     Raises
     ------
     SettingsInvalid
-        The file can't be read or is neither.
+        The file can't be read, or is not valid JSON or TOML.
     """
     try:
         text = path.read_text(encoding='utf-8')
--- a/src/amaranthslip/configuration/holder.py
+++ b/src/amaranthslip/configuration/holder.py
@@ -1,4 +1,4 @@
-"""The version in force on one instance."""
+"""The version in force on an instance."""
 
 from gevent import event
 
@@ -6,11 +6,11 @@
 
 
 class Holder:
-    """Holds the version in force, and never goes back to a lower one.
+    """Holds the version in force and never reverts to a lower one.
 
-    `document` is the version in force; before the first one it is an empty
-    document of version 0, and the instance is not ready. `generation` grows
-    with each change.
+    `document` is the version in force. Until the first version is applied it
+    is an empty document of version 0, and the instance is not ready.
+    `generation` increases with each change.
 
     Examples
     --------
@@ -32,40 +32,43 @@
 
     @property
     def ready(self) -> bool:
-        """Whether any version is in force yet."""
+        """Whether a version is in force."""
         return self.document.version > 0
 
-    def apply(self, newer: document.Document) -> bool:
-        """Put a version in force; a lower or the same one is ignored.
+    def apply(self, candidate: document.Document) -> bool:
+        """Put a version in force unless its number is the same or lower.
 
-        A lagging peer, a late message or a restored service may offer an
-        old version at any time. Here is the one place where a version comes
-        into force, so comparing here is enough for none to revert.
+        A lagging peer, a delayed message or a restored key-value service may
+        offer an old version at any time. Versions come into force only
+        through this method, so this comparison is enough to prevent a
+        revert.
 
         Returns
         -------
         bool
             Whether the version came into force.
         """
-        if newer.version <= self.document.version:
+        if candidate.version <= self.document.version:
             return False
-        self.document = newer
+        self.document = candidate
         self.generation += 1
-        # Each wait has its own event: one that was cleared and set again
-        # could be missed by a greenlet that has not run in between.
+        # Each generation has its own event. A greenlet that does not run
+        # between the set and the clear of a shared event would miss the
+        # change.
         changed, self._changed = self._changed, event.Event()
         changed.set()
         return True
 
     def wait(self, generation: int, *, timeout: float | None = None) -> int:
-        """Wait until the generation differs; return the present one.
+        """Wait until the generation changes and return the current one.
 
         Parameters
         ----------
         generation : int
-            The generation that the caller has seen.
+            The last generation that the caller has seen.
         timeout : float or None
-            Seconds to wait at most; then the same generation is returned.
+            The maximum wait in seconds, after which the unchanged generation
+            is returned; None waits without a limit.
         """
         if self.generation == generation:
             self._changed.wait(timeout)
--- a/src/amaranthslip/configuration/manifests.py
+++ b/src/amaranthslip/configuration/manifests.py
@@ -1,8 +1,9 @@
-"""The manifest: which version is accepted, by whom, and of which parts.
+"""The manifest: the accepted version, its author and its index.
 
-It is the one value that decides. It names the index, itself a part, which
-lists the parts of the version; so the manifest stays small however large
-the document is.
+The manifest is the single value that determines which version is accepted.
+It names the index by digest, and the index, itself stored as a part, lists
+the parts of the version. The manifest therefore stays small for documents of
+any size.
 """
 
 import json
@@ -11,16 +12,17 @@
 from amaranthslip.configuration import parts
 from amaranthslip import errors
 
-# Versions that the manifest remembers besides the present one: at 1,100
-# changes a day about half an hour, so that racing writers find their base.
+# The number of earlier versions that the manifest lists. At 1,100 changes a
+# day this covers about half an hour, so that concurrent writers find their
+# base version.
 HISTORY_VERSIONS = 24
 
 
 class Acceptance:
-    """One accepted version: who submitted it, when, and its index.
+    """One accepted version: its author, submission time and index.
 
-    `time` is in seconds since 1970 by the submitter's clock, for people;
-    nothing is decided by it.
+    `time` is in seconds since 1970 by the submitter's clock. It is for
+    display only; no decision depends on it.
     """
 
     __slots__ = ('version', 'submission', 'author', 'time', 'index')
@@ -42,10 +44,11 @@
 
 
 class Manifest:
-    """The accepted version, and those before it, newest first.
+    """The accepted version, and the versions before it, newest first.
 
-    `collections` counts the collections of unreferenced parts: each raises
-    it, which fails the swap of any writer that read the manifest before.
+    `collections` counts the garbage collections of unreferenced parts. Each
+    collection increments it, so that the swap of any writer that read the
+    manifest earlier fails.
     """
 
     __slots__ = ('accepted', 'history', 'collections')
@@ -67,25 +70,25 @@
         return self.accepted.version
 
     def list_versions(self) -> list[Acceptance]:
-        """Return every version that the manifest knows, newest first."""
+        """Return the accepted and all earlier versions, newest first."""
         return [self.accepted, *self.history]
 
     def find_submission(self, submission: str) -> Acceptance | None:
-        """Return the version that came of a submission, if it is known."""
+        """Return the version made by a submission, or None if not listed."""
         for each in self.list_versions():
             if each.submission == submission:
                 return each
         return None
 
     def find_version(self, version: int) -> Acceptance | None:
-        """Return what is known of a version number."""
+        """Return the version with a number, or None if it is not listed."""
         for each in self.list_versions():
             if each.version == version:
                 return each
         return None
 
-    def follow(self, accepted: Acceptance) -> 'Manifest':
-        """Return the manifest in which `accepted` comes after this one."""
+    def make_successor(self, accepted: Acceptance) -> 'Manifest':
+        """Return the manifest that succeeds this one with `accepted`."""
         return Manifest(
             accepted=accepted,
             history=self.list_versions()[:HISTORY_VERSIONS],
@@ -94,7 +97,7 @@
 
 
 class Index:
-    """The parts of one version, and the buckets they were cut into."""
+    """The parts of one version, and the number of buckets per section."""
 
     __slots__ = ('buckets', 'digests')
 
@@ -106,7 +109,7 @@
 
 
 def encode_manifest(manifest: Manifest) -> bytes:
-    """Return a manifest as stored and as sent between instances."""
+    """Return a manifest in the form stored and sent between instances."""
     content = {
         'accepted': parts.export_item(manifest.accepted),
         'history': [parts.export_item(each) for each in manifest.history],
@@ -116,7 +119,13 @@
 
 
 def decode_manifest(data: bytes) -> Manifest:
-    """Read a manifest; raises ConfigurationDamaged if it can't be."""
+    """Decode a manifest.
+
+    Raises
+    ------
+    ConfigurationDamaged
+        The data is not a manifest that this release can read.
+    """
     try:
         content = json.loads(data)
         manifest = Manifest(
@@ -124,18 +133,20 @@
             history=[Acceptance(**each) for each in content['history']],
             collections=content['collections'],
         )
-        if not all(_is_sound(each) for each in manifest.list_versions()):
-            raise ValueError('a field is of the wrong type')
+        if not all(
+            _has_valid_fields(each) for each in manifest.list_versions()
+        ):
+            raise ValueError('a field has the wrong type')
     except (KeyError, TypeError, ValueError, RecursionError) as error:
         raise errors.ConfigurationDamaged(
-            f'the manifest has an unknown form ({error!r}): something else '
-            'writes to its key, or a newer release wrote it; what is in '
-            'force stays in force'
+            f'the manifest has an unknown format ({error!r}): another '
+            'program writes to its key, or a newer release wrote it; the '
+            'version in force stays in force'
         ) from None
     return manifest
 
 
-def _is_sound(each: Acceptance) -> bool:
+def _has_valid_fields(each: Acceptance) -> bool:
     texts = (each.submission, each.author, each.index)
     if not all(isinstance(text, str) for text in texts):
         return False
@@ -143,7 +154,7 @@
 
 
 def encode_index(index: Index) -> parts.Part:
-    """Make the part that lists a version's parts."""
+    """Return the part that stores an index."""
     digest, data = parts.pack(
         {'buckets': index.buckets, 'digests': index.digests}
     )
@@ -151,12 +162,18 @@
 
 
 def decode_index(digest: str, data: bytes) -> Index:
-    """Read an index; raises ConfigurationDamaged if it can't be."""
+    """Decode an index.
+
+    Raises
+    ------
+    ConfigurationDamaged
+        The data does not match the digest, or this release can't read it.
+    """
     content = parts.unpack(digest, data)
     try:
         return Index(buckets=content['buckets'], digests=content['digests'])
     except (KeyError, TypeError) as error:
         raise errors.ConfigurationDamaged(
-            f'index {digest} has an unknown form ({error!r}): it was written '
-            'by a newer release; bring this instance to that release'
+            f'index {digest} has an unknown format ({error!r}): it was '
+            'written by a newer release; update this instance to that release'
         ) from None
--- a/src/amaranthslip/configuration/messages.py
+++ b/src/amaranthslip/configuration/messages.py
@@ -1,10 +1,10 @@
-"""What instances tell one another about versions."""
+"""Messages between instances about versions and changes of the store."""
 
 import typing
 
 
 class VersionRequest:
-    """Asks which version a peer has in force; carries the asker's own."""
+    """Requests a peer's version in force and carries the sender's own."""
 
     __slots__ = ('version',)
 
@@ -13,7 +13,7 @@
 
 
 class VersionNotice:
-    """Tells which version is in force here (0: none), and its submission."""
+    """The sender's version in force (0: none) and its submission id."""
 
     __slots__ = ('version', 'submission')
 
@@ -23,7 +23,7 @@
 
 
 class ManifestRequest:
-    """Asks a peer for the manifest of this version, or of a higher one."""
+    """Requests the manifest of a version, or of a higher one."""
 
     __slots__ = ('version',)
 
@@ -32,7 +32,7 @@
 
 
 class ManifestAnswer:
-    """A manifest as stored; no data where the sender has none."""
+    """A manifest in stored form; empty data if the sender has none."""
 
     __slots__ = ('version', 'data')
 
@@ -42,7 +42,7 @@
 
 
 class PartRequest:
-    """Asks a peer for a part or an index."""
+    """Requests a part or an index by digest."""
 
     __slots__ = ('digest',)
 
@@ -51,7 +51,7 @@
 
 
 class PartAnswer:
-    """A part as stored; no data where the sender hasn't it."""
+    """A part in stored form; empty data if the sender does not have it."""
 
     __slots__ = ('digest', 'data')
 
@@ -61,7 +61,7 @@
 
 
 class StoreEntry:
-    """One key of the platform's store, as a watcher read it."""
+    """One key of the platform's store as read by a watcher."""
 
     __slots__ = ('key', 'deleted', 'value', 'revision')
 
@@ -75,12 +75,13 @@
 
 
 class StoreChanges:
-    """What changed in the store after one revision, up to another.
+    """The changes of the store after one revision, up to another.
 
-    `echo` is the receiver's newest stamp that the sender had when it last
-    knew that nothing else had changed; 0: none. `lapse` are milliseconds for
-    which backend servers whose entry is missing stay in use: the store came
-    back a moment ago, and theirs may yet.
+    `echo` is the newest of the receiver's stamps that had arrived at the
+    sender when the sender's knowledge of the store was last confirmed as
+    current; 0 if there is none. `lapse` is the time in milliseconds for which
+    backend servers without an entry stay in use: after an outage of the store
+    their entries may not be written again yet.
     """
 
     __slots__ = ('after', 'revision', 'echo', 'entries', 'lapse')
@@ -102,10 +103,11 @@
 
 
 class StoreStamp:
-    """The sender's clock in milliseconds, for a source to echo.
+    """The sender's clock in milliseconds, which its sources echo.
 
-    `revision` is the store's, up to which the sender knows all; `missed` asks
-    for all after it once more, as something between did not arrive.
+    `revision` is the revision of the store up to which the sender has all
+    changes. `missed` requests all later changes again, because some of them
+    did not arrive.
     """
 
     __slots__ = ('stamp', 'revision', 'missed')
@@ -119,6 +121,6 @@
 
 
 class StoreUnreachable:
-    """The sender, a watcher, does not reach the store at present."""
+    """Reports that the sender, a watcher, can't reach the store."""
 
     __slots__ = ()
--- a/src/amaranthslip/configuration/pacing.py
+++ b/src/amaranthslip/configuration/pacing.py
@@ -1,4 +1,4 @@
-"""Long computations that let other greenlets run in between."""
+"""Cooperative time slicing for long computations."""
 
 import time
 
@@ -8,16 +8,16 @@
 
 
 class Pacer:
-    """Yields to other greenlets once a slice of time is used up.
+    """Yields to other greenlets when a time slice is used up.
 
-    A document of 25,000 client accounts takes seconds to check. Without
-    pauses every stream that the instance relays would stand still for that
-    long; with them a stream waits for one slice at most.
+    Validating a document of 25,000 client accounts takes seconds. Without
+    yields every stream that the instance relays would stall for that time.
+    With them a stream is delayed by one slice at most.
 
     Parameters
     ----------
     slice_seconds : float
-        How long to compute between two pauses.
+        The longest computation between two yields, in seconds.
     """
 
     __slots__ = ('_slice_seconds', '_until')
@@ -27,7 +27,7 @@
         self._until = time.monotonic() + slice_seconds
 
     def pause(self) -> None:
-        """Let others run if the slice is used up."""
+        """Yield to other greenlets if the time slice is used up."""
         if time.monotonic() < self._until:
             return
         gevent.sleep(0)
--- a/src/amaranthslip/configuration/parts.py
+++ b/src/amaranthslip/configuration/parts.py
@@ -1,9 +1,9 @@
-"""Content-addressed parts: a document cut into pieces well under a megabyte.
+"""Content-addressed parts: pieces of a document, well under a megabyte each.
 
 A part is named by the SHA-256 of its content, so that equal content is
-stored, moved and kept once. Client accounts and backend servers are spread
-over buckets by a hash of their names: a change of one account changes one
-bucket, and with it one part.
+stored, transferred and kept in memory once. Client accounts and backend
+servers are distributed over buckets by a hash of their names, so that a
+change of one account changes one bucket and thereby one part.
 """
 
 import hashlib
@@ -17,24 +17,27 @@
 from amaranthslip.configuration import pacing
 from amaranthslip import errors
 
-# Buckets double when they would hold more than the most, and halve when
-# they would hold less than the least: between the two, adding and removing
-# the same account does not move every part back and forth.
-_MOST_BUCKET_ITEMS = 128
-_LEAST_BUCKET_ITEMS = 32
-_BUCKETED = frozenset({'client_accounts', 'backend_servers'})
-# The service holds values up to a megabyte; its JSON gateway adds a third.
-MOST_DATA_BYTES = 600_000
-# What a part may hold once inflated: damaged data must not fill the memory.
-_MOST_CONTENT_BYTES = 4_000_000
+# The number of buckets doubles when a bucket would hold more than the maximum
+# on average, and halves when it would hold less than the minimum. The gap
+# between the two keeps repeated adding and removing of one account from
+# rewriting every part each time.
+_MAX_BUCKET_ITEMS = 128
+_MIN_BUCKET_ITEMS = 32
+_BUCKETED_SECTIONS = frozenset({'client_accounts', 'backend_servers'})
+# The key-value service accepts values of up to a megabyte, and the encoding
+# in its JSON gateway adds a third.
+MAX_DATA_BYTES = 600_000
+# The maximum size of an inflated part: damaged data must not exhaust the
+# memory.
+_MAX_CONTENT_BYTES = 4_000_000
 _COMPRESSION_LEVEL = 6
 
 
 class Part:
-    """Items of one section, as stored and as objects.
+    """Items of one section, in stored form and as objects.
 
-    `data` is deflated JSON; `digest` is the SHA-256 of the JSON before it
-    was deflated, because two releases of zlib may deflate differently.
+    `data` is deflated JSON. `digest` is the SHA-256 of the JSON before
+    compression, because the output of different zlib releases may differ.
     """
 
     __slots__ = ('section', 'digest', 'data', 'items')
@@ -63,53 +66,67 @@
 
 
 def pack(content: object) -> tuple[str, bytes]:
-    """Return the digest and the stored data of some JSON content."""
+    """Return the digest and the stored form of JSON content.
+
+    Raises
+    ------
+    ConfigurationRefused
+        The stored form is too large for the key-value service.
+    """
     text = json.dumps(content, sort_keys=True, separators=(',', ':')).encode()
     digest = hashlib.sha256(text).hexdigest()
     data = zlib.compress(text, _COMPRESSION_LEVEL)
-    if len(data) > MOST_DATA_BYTES:
+    if len(data) > MAX_DATA_BYTES:
         raise errors.ConfigurationRefused(
             'part_too_large',
-            f'a part of the document takes {len(data)} bytes, at most '
-            f'{MOST_DATA_BYTES} fit: give the accounts fewer keys',
+            f'a part of the document has {len(data)} bytes, and the limit is '
+            f'{MAX_DATA_BYTES}: reduce the number of keys per account',
         )
     return digest, data
 
 
 def unpack(digest: str, data: bytes) -> typing.Any:
-    """Return the content of stored data once its digest is checked.
+    """Check the digest of stored data and return its content.
 
     Raises
     ------
     ConfigurationDamaged
-        The data is not what the digest names.
+        The data can't be inflated or does not match the digest.
     """
     try:
         inflater = zlib.decompressobj()
-        text = inflater.decompress(data, _MOST_CONTENT_BYTES)
+        text = inflater.decompress(data, _MAX_CONTENT_BYTES)
     except zlib.error as error:
-        raise _report_damage(digest, str(error)) from None
+        raise _make_damage_error(digest, str(error)) from None
     if hashlib.sha256(text).hexdigest() != digest:
-        raise _report_damage(digest, 'its content has another digest')
+        raise _make_damage_error(digest, 'its content has another digest')
     return json.loads(text)
 
 
-def _report_damage(digest: str, why: str) -> errors.ConfigurationDamaged:
+def _make_damage_error(
+    digest: str, reason: str
+) -> errors.ConfigurationDamaged:
     return errors.ConfigurationDamaged(
-        f'part {digest} is damaged ({why}); it is read again from another '
-        'place, and if that fails too, submit the document again'
+        f'part {digest} is damaged ({reason}); it is read again from another '
+        'source; if that fails as well, submit the document again'
     )
 
 
 def encode(section: str, items: typing.Sequence[typing.Any]) -> Part:
-    """Make the part that holds these items."""
+    """Return the part that holds these items."""
     exported = [export_item(item) for item in items]
     digest, data = pack({'section': section, 'items': exported})
     return Part(section=section, digest=digest, data=data, items=items)
 
 
 def decode(digest: str, data: bytes) -> Part:
-    """Read a part; raises ConfigurationDamaged if it can't be."""
+    """Decode a part.
+
+    Raises
+    ------
+    ConfigurationDamaged
+        The data does not match the digest, or this release can't read it.
+    """
     content = unpack(digest, data)
     try:
         section = content['section']
@@ -117,21 +134,21 @@
         items = [build(**item) for item in content['items']]
     except (KeyError, TypeError) as error:
         raise errors.ConfigurationDamaged(
-            f'part {digest} has an unknown form ({error!r}): it was written '
-            'by a newer release; bring this instance to that release'
+            f'part {digest} has an unknown format ({error!r}): it was '
+            'written by a newer release; update this instance to that release'
         ) from None
     return Part(section=section, digest=digest, data=data, items=items)
 
 
 def split(
-    whole: document.Document, buckets: dict[str, int]
+    full_document: document.Document, buckets: dict[str, int]
 ) -> typing.Iterator[Part]:
-    """Yield the parts of a document, in the order of their sections."""
+    """Yield the parts of a document, ordered by section."""
     pacer = pacing.Pacer()
     for section in document.SECTION_CLASSES:
-        items = list(getattr(whole, section).values())
+        items = list(getattr(full_document, section).values())
         count = buckets.get(section, 1)
-        if section not in _BUCKETED:
+        if section not in _BUCKETED_SECTIONS:
             yield encode(section, items)
             continue
         for bucket in _fill_buckets(items, count):
@@ -150,27 +167,28 @@
 
 
 def choose_bucket(name: str, count: int) -> int:
-    """Return the bucket of a name among `count`."""
+    """Return the bucket number, below `count`, of a name."""
     return xxhash.xxh3_64_intdigest(name.encode()) % count
 
 
 def count_buckets(
-    whole: document.Document, previous: dict[str, int]
+    full_document: document.Document, previous: dict[str, int]
 ) -> dict[str, int]:
     """Return the number of buckets of each bucketed section.
 
     Parameters
     ----------
     previous : dict of str to int
-        The numbers of the version before, kept while they still fit.
+        The numbers of the previous version, which are kept while the average
+        size of a bucket stays within its limits.
     """
     counts = {}
-    for section in sorted(_BUCKETED):
-        items = len(getattr(whole, section))
+    for section in sorted(_BUCKETED_SECTIONS):
+        items = len(getattr(full_document, section))
         count = previous.get(section, 1)
-        while items > count * _MOST_BUCKET_ITEMS:
+        while items > count * _MAX_BUCKET_ITEMS:
             count *= 2
-        while count > 1 and items < count * _LEAST_BUCKET_ITEMS:
+        while count > 1 and items < count * _MIN_BUCKET_ITEMS:
             count //= 2
         counts[section] = count
     return counts
--- a/src/amaranthslip/configuration/rules.py
+++ b/src/amaranthslip/configuration/rules.py
@@ -1,4 +1,4 @@
-"""What only shows across the sections of a document."""
+"""Validation rules that span several items or sections of a document."""
 
 import typing
 
@@ -10,11 +10,11 @@
 Mistakes = typing.Iterator[errors.SettingError]
 
 
-class Review:
+class DocumentIndex:
     """The sections of one document, indexed for the rules below.
 
-    Items that are malformed by themselves are passed over here; their own
-    mistakes are reported by the schema.
+    Malformed items are skipped here, because the schema validation reports
+    their mistakes.
     """
 
     __slots__ = ('source', 'pacer', '_items', '_names')
@@ -35,24 +35,25 @@
         }
 
     def list_items(self, section: str) -> typing.Iterator[tuple[int, Item]]:
-        """Yield index and item of those that are tables with a name."""
+        """Yield index and item of every table with a valid name."""
         for index, item in enumerate(self._items.get(section, ())):
             self.pacer.pause()
             if not isinstance(item, dict):
                 continue
             name = item.get('name')
-            # Text from JSON may hold lone surrogates, which can't be hashed.
+            # Strings from JSON may contain lone surrogates, which can't be
+            # encoded for hashing.
             if isinstance(name, str) and name.isascii():
                 yield index, item
 
-    def knows(self, section: str, name: object) -> bool:
-        """Tell whether a section has an item of that name."""
+    def has_item(self, section: str, name: object) -> bool:
+        """Return whether a section has an item with this name."""
         return isinstance(name, str) and name in self._names.get(section, ())
 
-    def report(
+    def make_error(
         self, section: str, index: int, field: str, found: object, allowed: str
     ) -> errors.SettingError:
-        """Return the mistake at one field of one item."""
+        """Return the error for one field of one item."""
         path = f'{section}[{index}].{field}'
         return errors.SettingError(self.source, path, found, allowed)
 
@@ -60,30 +61,32 @@
 def find_mistakes(
     values: dict[str, list[Item]], *, source: str, pacer: pacing.Pacer
 ) -> Mistakes:
-    """Yield every mistake that shows between items or sections."""
-    review = Review(values, source=source, pacer=pacer)
+    """Yield every mistake that involves several items or sections."""
+    document_index = DocumentIndex(values, source=source, pacer=pacer)
     for section in values:
-        yield from _check_names(review, section)
-    yield from _check_services(review)
-    yield from _check_backend_servers(review)
-    yield from _check_request_kinds(review)
-    yield from _check_accounts(review)
-    yield from _check_keys(review)
+        yield from _check_names(document_index, section)
+    yield from _check_services(document_index)
+    yield from _check_backend_servers(document_index)
+    yield from _check_request_kinds(document_index)
+    yield from _check_accounts(document_index)
+    yield from _check_keys(document_index)
 
 
-def _check_names(review: Review, section: str) -> Mistakes:
-    """Names are unique, and so are their numbers in messages.
+def _check_names(document_index: DocumentIndex, section: str) -> Mistakes:
+    """Check that names, and their numbers in messages, are unique.
 
-    Two accounts with one number would be served as one: one of them would
-    silently pay for both.
+    Two accounts with the same number would be treated as one account, and
+    one of them would be charged for both.
     """
     first: dict[str, int] = {}
     numbers: dict[int, str] = {}
-    for index, item in review.list_items(section):
+    for index, item in document_index.list_items(section):
         name = item['name']
         if name in first:
-            allowed = f'a name of its own ({section}[{first[name]}] has it)'
-            yield review.report(section, index, 'name', name, allowed)
+            allowed = f'a unique name ({section}[{first[name]}] has this one)'
+            yield document_index.make_error(
+                section, index, 'name', name, allowed
+            )
             continue
         first[name] = index
         other = numbers.setdefault(identity.identify(name), name)
@@ -92,56 +95,71 @@
                 f'any other name (this one and {other!r} have the same '
                 'number in messages between instances)'
             )
-            yield review.report(section, index, 'name', name, allowed)
+            yield document_index.make_error(
+                section, index, 'name', name, allowed
+            )
 
 
-def _check_services(review: Review) -> Mistakes:
-    """Each service can be served, so that no queued request is stranded."""
-    staying = set()
-    for _, item in review.list_items('backend_servers'):
+def _check_services(document_index: DocumentIndex) -> Mistakes:
+    """Check that each service has a staying server and a request kind.
+
+    Without a backend server that stays, the requests that are queued for the
+    service would never be served.
+    """
+    services_with_servers = set()
+    for _, item in document_index.list_items('backend_servers'):
         if item.get('leaving') is not True:
-            staying.add(str(item.get('service')))
-    described = {
+            services_with_servers.add(str(item.get('service')))
+    services_with_kinds = {
         str(item.get('service'))
-        for _, item in review.list_items('request_kinds')
+        for _, item in document_index.list_items('request_kinds')
     }
-    for index, item in review.list_items('services'):
+    for index, item in document_index.list_items('services'):
         name = item['name']
-        if name not in staying:
+        if name not in services_with_servers:
             allowed = (
-                'a service with a backend server that is not leaving: its '
-                'queued requests would be stranded; add one, or remove the '
-                'service from here, its accounts and its request kinds'
+                'a service with a backend server that is not leaving, because '
+                'its queued requests would never be served; add one, or '
+                'remove the service, its request kinds and its uses in '
+                'accounts'
             )
-            yield review.report('services', index, 'name', name, allowed)
-        if name not in described:
+            yield document_index.make_error(
+                'services', index, 'name', name, allowed
+            )
+        if name not in services_with_kinds:
             allowed = 'a service with at least one request kind'
-            yield review.report('services', index, 'name', name, allowed)
+            yield document_index.make_error(
+                'services', index, 'name', name, allowed
+            )
 
 
-def _check_backend_servers(review: Review) -> Mistakes:
+def _check_backend_servers(document_index: DocumentIndex) -> Mistakes:
     first: dict[str, str] = {}
     section = 'backend_servers'
-    for index, item in review.list_items(section):
+    for index, item in document_index.list_items(section):
         for field, target in (
             ('service', 'services'),
             ('failure_domain', 'failure_domains'),
         ):
-            yield from _check_name(review, section, index, field, item, target)
+            yield from _check_name(
+                document_index, section, index, field, item, target
+            )
         address = item.get('address')
         if not isinstance(address, str):
             continue
         other = first.setdefault(address, item['name'])
         if other != item['name']:
             allowed = (
-                f'an address of its own ({other} has it): its slots would '
-                'be counted twice'
+                f'a unique address ({other} has this one), because its slots '
+                'would be counted twice'
+            )
+            yield document_index.make_error(
+                section, index, 'address', address, allowed
             )
-            yield review.report(section, index, 'address', address, allowed)
 
 
 def _check_name(
-    review: Review,
+    document_index: DocumentIndex,
     section: str,
     index: int,
     field: str,
@@ -149,46 +167,46 @@
     target: str,
 ) -> Mistakes:
     found = item.get(field)
-    if isinstance(found, str) and not review.knows(target, found):
+    if isinstance(found, str) and not document_index.has_item(target, found):
         allowed = f'the name of an item of {target}; add it there first'
-        yield review.report(section, index, field, found, allowed)
+        yield document_index.make_error(section, index, field, found, allowed)
 
 
-def _check_request_kinds(review: Review) -> Mistakes:
-    """No kind of a plain service hides behind an earlier, broader one.
+def _check_request_kinds(document_index: DocumentIndex) -> Mistakes:
+    """Check that no kind of a plain service is shadowed by an earlier one.
 
-    A booking that is taken for an earlier kind, which may be repeated,
-    would be booked twice after a lost answer.
+    If a booking matched an earlier kind that is marked idempotent, the
+    booking would be repeated after a lost answer and made twice.
     """
     section = 'request_kinds'
     plain = {
         item['name']
-        for _, item in review.list_items('services')
+        for _, item in document_index.list_items('services')
         if item.get('kind') == 'plain'
     }
     earlier: dict[str, list[Item]] = {}
-    for index, item in review.list_items(section):
+    for index, item in document_index.list_items(section):
         service = item.get('service')
         yield from _check_name(
-            review, section, index, 'service', item, 'services'
+            document_index, section, index, 'service', item, 'services'
         )
         if not isinstance(service, str) or service not in plain:
             continue
         before = earlier.setdefault(service, [])
         for other in before:
-            if _covers(other, item):
+            if _shadows(other, item):
                 allowed = (
-                    f'a place before {other["name"]!r}, which matches all '
-                    'of its requests'
+                    f'a position before {other["name"]!r}, which matches all '
+                    'requests of this kind'
                 )
-                yield review.report(
+                yield document_index.make_error(
                     section, index, 'path_prefix', item['name'], allowed
                 )
                 break
         before.append(item)
 
 
-def _covers(earlier: Item, later: Item) -> bool:
+def _shadows(earlier: Item, later: Item) -> bool:
     method = earlier.get('method', '*')
     prefix = str(earlier.get('path_prefix', '/'))
     if method not in ('*', later.get('method', '*')):
@@ -196,34 +214,43 @@
     return str(later.get('path_prefix', '/')).startswith(prefix)
 
 
-def _check_accounts(review: Review) -> Mistakes:
+def _check_accounts(document_index: DocumentIndex) -> Mistakes:
     section = 'client_accounts'
-    for index, item in review.list_items(section):
+    for index, item in document_index.list_items(section):
         services = item.get('services')
         if not isinstance(services, list):
             continue
         if not services:
-            allowed = 'at least one service that the account may reach'
-            yield review.report(section, index, 'services', [], allowed)
+            allowed = 'at least one service that the account may use'
+            yield document_index.make_error(
+                section, index, 'services', [], allowed
+            )
         seen: set[str] = set()
         for place, name in enumerate(services):
             field = f'services[{place}]'
             if not isinstance(name, str):
                 continue
-            if not review.knows('services', name):
+            if not document_index.has_item('services', name):
                 allowed = 'the name of an item of services'
-                yield review.report(section, index, field, name, allowed)
+                yield document_index.make_error(
+                    section, index, field, name, allowed
+                )
             if name in seen:
-                allowed = 'each service once'
-                yield review.report(section, index, field, name, allowed)
+                allowed = 'each service at most once'
+                yield document_index.make_error(
+                    section, index, field, name, allowed
+                )
             seen.add(name)
 
 
-def _check_keys(review: Review) -> Mistakes:
-    """One bearer key belongs to one account, or requests go astray."""
+def _check_keys(document_index: DocumentIndex) -> Mistakes:
+    """Check that no bearer key belongs to two accounts.
+
+    The requests of one of them would be attributed to the other.
+    """
     section = 'client_accounts'
     owners: dict[str, str] = {}
-    for index, item in review.list_items(section):
+    for index, item in document_index.list_items(section):
         keys = item.get('keys', [])
         if not isinstance(keys, list):
             continue
@@ -231,7 +258,9 @@
             if not isinstance(key, str):
                 continue
             if key in owners:
-                allowed = f'a key of its own ({owners[key]} has this one)'
+                allowed = f'a unique key ({owners[key]} has this one)'
                 field = f'keys[{place}]'
-                yield review.report(section, index, field, key, allowed)
+                yield document_index.make_error(
+                    section, index, field, key, allowed
+                )
             owners.setdefault(key, item['name'])
--- a/src/amaranthslip/configuration/schemas.py
+++ b/src/amaranthslip/configuration/schemas.py
@@ -1,6 +1,6 @@
-"""What each item of a configuration document may hold, as JSON Schema.
+"""JSON Schemas of the items of a configuration document.
 
-`description` is the remedy that a mistake's message shows.
+An error message shows the `description` of a field as its allowed value.
 """
 
 import math
@@ -12,7 +12,7 @@
 
 Schema = dict[str, typing.Any]
 
-# Python's `$` also matches before a closing line break, `\Z` does not.
+# In Python `$` also matches before a trailing newline; `\Z` does not.
 _NAME: Schema = {
     'type': 'string',
     'pattern': r'^[a-z0-9][a-z0-9._-]{0,62}\Z',
@@ -58,11 +58,11 @@
     }
 
 
-def _list(item: Schema, most: int, description: str) -> Schema:
+def _list(item: Schema, max_items: int, description: str) -> Schema:
     return {
         'type': 'array',
         'items': item,
-        'maxItems': most,
+        'maxItems': max_items,
         'description': description,
     }
 
@@ -74,14 +74,14 @@
         'kind': _choice(
             document.ServiceKind.MODEL, document.ServiceKind.PLAIN
         ),
-        'prompt_weight': _number(0, 1000, 'generated tokens a prompt token'),
+        'prompt_weight': _number(0, 1000, 'generated tokens per prompt token'),
     },
     'backend_servers': {
         'name': _NAME,
         'service': _NAME,
         'address': _ADDRESS,
         'failure_domain': _NAME,
-        'slots': _integer(1, 4096, 'requests at once'),
+        'slots': _integer(1, 4096, 'concurrent requests'),
         'leaving': _FLAG,
         'checks_fencing': _FLAG,
     },
@@ -104,15 +104,15 @@
     },
     'client_accounts': {
         'name': _NAME,
-        'share': _number(0, 1000000, 'share, against the other accounts'),
-        'services': _list(_NAME, 1000, 'a list of names of services'),
+        'share': _number(0, 1000000, 'share, relative to the other accounts'),
+        'services': _list(_NAME, 1000, 'a list of service names'),
         'keys': _list(
             _KEY,
             100,
             'a list of bearer key hashes, each sha256: and 64 lower-case '
             'hexadecimal digits',
         ),
-        'queue_requests': _integer(1, 100000, 'queued requests at most'),
+        'queue_requests': _integer(1, 100000, 'maximum of queued requests'),
         'queue_seconds': _number(0, 86400, 'seconds'),
     },
     'operators': {
@@ -122,8 +122,8 @@
             'type': 'string',
             'pattern': r'^(scrypt|pbkdf2):[^\s$]+\$[^\s$]+\$[0-9a-f]+\Z',
             'description': (
-                'a salted hash as werkzeug.security.generate_password_hash '
-                'makes it, never the password itself'
+                'a salted hash as returned by '
+                'werkzeug.security.generate_password_hash, never the password'
             ),
         },
     },
@@ -140,7 +140,10 @@
 
 
 def _is_finite_number(checker: object, value: object) -> bool:
-    """TOML and Python's JSON know nan and inf, which pass any limit."""
+    """Return whether a value is a finite number.
+
+    TOML and Python's JSON accept nan and inf. nan passes every range check.
+    """
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         return False
     return isinstance(value, int) or math.isfinite(value)
--- a/src/amaranthslip/configuration/snapshots.py
+++ b/src/amaranthslip/configuration/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: a version with its manifest and parts, as instances keep it."""
+"""Snapshots: a version with its manifest and parts, in memory."""
 
 import typing
 
@@ -8,18 +8,18 @@
 from amaranthslip.configuration import parts
 from amaranthslip import errors
 
-# Returns the data of each digest asked for; may leave some out.
+# Returns the data of the requested digests; missing parts are left out.
 Fetch = typing.Callable[[typing.Sequence[str]], dict[str, bytes]]
 
 
 class Snapshot:
-    """One version, whole: what peers may ask for, and the document.
+    """One complete version: the parts that peers may request, and a document.
 
-    Versions share their equal parts, and with them the items' objects: a
-    change of one account costs one part of memory.
+    Versions share equal parts and the item objects in them, so that a version
+    that changes one account needs the memory of one additional part.
     """
 
-    __slots__ = ('manifest', 'index_part', 'index', 'parts', '_whole')
+    __slots__ = ('manifest', 'index_part', 'index', 'parts', '_document')
 
     def __init__(
         self,
@@ -33,12 +33,12 @@
         self.index_part = index_part
         self.index = index
         self.parts = {part.digest: part for part in contents}
-        self._whole = build_document(manifest.version, contents)
+        self._document = build_document(manifest.version, contents)
 
     @property
     def document(self) -> document.Document:
         """The version's document."""
-        return self._whole
+        return self._document
 
     @property
     def version(self) -> int:
@@ -46,7 +46,7 @@
         return self.manifest.version
 
     def find_data(self, digest: str) -> bytes | None:
-        """Return the stored data of one of the parts, or of the index."""
+        """Return the stored form of a part or the index; None if unknown."""
         if digest == self.index_part.digest:
             return self.index_part.data
         part = self.parts.get(digest)
@@ -56,20 +56,26 @@
 def build_document(
     version: int, contents: typing.Iterable[parts.Part]
 ) -> document.Document:
-    """Put the items of parts together."""
+    """Return the document made of the items of all parts."""
     sections: dict[str, list[typing.Any]] = {}
     for part in contents:
         sections.setdefault(part.section, []).extend(part.items)
     return document.Document(version=version, **sections)
 
 
-def cut(
-    whole: document.Document, previous: manifests.Index | None
+def split_document(
+    full_document: document.Document, previous: manifests.Index | None
 ) -> tuple[parts.Part, manifests.Index, list[parts.Part]]:
-    """Cut a document: its index as a part, the index, and the parts."""
-    before = previous.buckets if previous is not None else {}
-    buckets = parts.count_buckets(whole, before)
-    contents = list(parts.split(whole, buckets))
+    """Split a document into parts.
+
+    Returns
+    -------
+    tuple
+        The part that stores the index, the index, and the parts.
+    """
+    previous_buckets = previous.buckets if previous is not None else {}
+    buckets = parts.count_buckets(full_document, previous_buckets)
+    contents = list(parts.split(full_document, buckets))
     index = manifests.Index(
         buckets=buckets, digests=[part.digest for part in contents]
     )
@@ -82,13 +88,13 @@
     *,
     previous: Snapshot | None = None,
 ) -> Snapshot:
-    """Fetch what a version needs beyond the previous one, and check it.
+    """Fetch and check the parts of a version that the previous one lacks.
 
     Raises
     ------
     ConfigurationDamaged
-        A part is missing or is not what its digest names: nothing of the
-        version is used.
+        A part is missing or does not match its digest. No part of the
+        version is used then.
     """
     digest = manifest.accepted.index
     index_part, index = _load_index(digest, fetch, previous)
@@ -99,7 +105,7 @@
     contents = []
     for each in index.digests:
         pacer.pause()
-        part = known.get(each) or parts.decode(each, _take(each, fetched))
+        part = known.get(each) or parts.decode(each, _get_data(each, fetched))
         contents.append(part)
     return Snapshot(
         manifest=manifest,
@@ -114,17 +120,17 @@
 ) -> tuple[parts.Part, manifests.Index]:
     if previous is not None and previous.index_part.digest == digest:
         return previous.index_part, previous.index
-    data = _take(digest, fetch([digest]))
+    data = _get_data(digest, fetch([digest]))
     part = parts.Part(section='index', digest=digest, data=data)
     return part, manifests.decode_index(digest, data)
 
 
-def _take(digest: str, fetched: dict[str, bytes]) -> bytes:
+def _get_data(digest: str, fetched: dict[str, bytes]) -> bytes:
     try:
         return fetched[digest]
     except KeyError:
         raise errors.ConfigurationDamaged(
-            f'part {digest} is missing where the version was read; it is '
-            'read again from another place, and if that fails too, submit '
+            f'part {digest} is missing at the source of the version; it is '
+            'read again from another source; if that fails as well, submit '
             'the document again'
         ) from None
--- a/src/amaranthslip/configuration/spread.py
+++ b/src/amaranthslip/configuration/spread.py
@@ -1,13 +1,14 @@
-"""Brings each accepted version into force on every instance.
+"""Propagation of each accepted version to every instance.
 
-Three ways run side by side, so that no single one has to work:
+Three mechanisms run in parallel, so that the failure of one is tolerated:
 
-- a few watchers per failure domain watch the manifest, with a slow check
-  read behind, because a watch may silently stop (`watching`);
-- whoever takes a version tells a few random peers, which pull it from the
-  teller and tell on;
-- the probes between members carry the version in force, so that whoever
-  missed the telling pulls it within about a second.
+- A few watchers per failure domain watch the manifest. They also read it
+  periodically, because a watch may silently stop (`watching`).
+- An instance that puts a version in force announces it to a few random
+  peers, which pull the version from that instance and announce it in turn.
+- The probes between members carry the number of the version in force, so that
+  an instance that missed the announcements pulls the version within about a
+  second.
 """
 
 import contextlib
@@ -33,25 +34,26 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Telling at random: each teller picks three peers, three times. A peer is
-# missed by all of them with a chance of about e^-9, one in 8,000; probes
-# find the rest.
-_TOLD_PEERS = 3
-_TELL_ROUNDS = 3
-_TELL_SECONDS = 0.3
+# Gossip: each instance announces a new version to three random peers, three
+# times. The chance that a peer receives none of the announcements is about
+# e^-9, or one in 8,000; such a peer learns of the version from probes.
+_ANNOUNCED_PEERS = 3
+_ANNOUNCE_ROUNDS = 3
+_ANNOUNCE_SECONDS = 0.3
 
-# A start without memory: so many peers must have said what they have.
-_ENOUGH_PEERS = 3
-_ASKED_PEERS = 5
-_ASK_SECONDS = 0.5
+# Start without a version: the number of peers whose answers are required, the
+# number of peers queried at a time, and the longest interval between queries.
+_REQUIRED_ANSWERS = 3
+_QUERIED_PEERS = 5
+_QUERY_SECONDS = 0.5
 
 
 class SpreadStatus:
-    """What health, status pages and operators want to know.
+    """The state shown by health checks, status pages and commands.
 
-    `store_outdated` means that the key-value service holds a lower version
-    than is in force, `forked` that two documents have one number: see
-    docs/configuration.md for what to do.
+    `store_outdated` means that the key-value service holds a version lower
+    than the one in force, and `forked` that two documents have the same
+    version number. docs/configuration.md describes the remedies.
     """
 
     __slots__ = (
@@ -85,20 +87,20 @@
 
 
 class Spread:
-    """Keeps one instance's version the highest that the fleet has.
+    """Keeps an instance at the highest version of the fleet.
 
     Parameters
     ----------
     settings : Settings
-        `instance.name` is this instance among the roster's.
+        `instance.name` is the name of this instance in the roster.
     holder : Holder
-        Where versions come into force.
+        Holds the version in force.
     store : Store
         The versions in the key-value service.
     roster : Roster
-        Who is alive.
+        The live members.
     outbox : Outbox
-        Where messages to peers go.
+        Sends messages to peers.
     metrics : Metrics
         Counts `configuration` events.
     """
@@ -109,9 +111,9 @@
         '_outbox',
         '_metrics',
         '_versions',
-        '_watching',
+        '_monitor',
         '_puller',
-        '_told',
+        '_peer_versions',
         '_wake',
         '_stack',
     )
@@ -130,7 +132,7 @@
         self._outbox = outbox
         self._metrics = metrics
         self._versions = versions.Versions(holder, metrics)
-        self._watching = watching.Watching(
+        self._monitor = watching.StoreMonitor(
             self._name,
             self._versions,
             store,
@@ -138,23 +140,23 @@
             metrics,
         )
         self._puller = pulling.Puller(outbox)
-        self._told: dict[str, int] = {}
+        self._peer_versions: dict[str, int] = {}
         self._wake = event.Event()
         self._stack = contextlib.ExitStack()
 
     def start(self) -> None:
-        """Begin to look for the version in force."""
+        """Start the greenlets that find, announce and check versions."""
         for loop in (
-            self._catch_up,
-            self._tell_on,
-            self._watching.keep_watching,
-            self._watching.keep_checking,
-            self._watching.keep_collecting,
+            self._keep_pulling,
+            self._announce_versions,
+            self._monitor.run_watch,
+            self._monitor.run_checks,
+            self._monitor.run_collections,
         ):
             self._stack.callback(gevent.spawn(loop).kill)
 
     def close(self) -> None:
-        """Stop; what is in force stays so."""
+        """Stop the greenlets; the version in force stays in force."""
         self._stack.close()
 
     def describe(self) -> SpreadStatus:
@@ -163,69 +165,76 @@
             version=self._versions.version,
             submission=self._versions.submission,
             ready=self._versions.holder.ready,
-            watching=self._watching.is_watcher(),
-            store_version=self._watching.stored_version,
-            store_outdated=self._watching.outdated,
+            watching=self._monitor.is_watcher(),
+            store_version=self._monitor.stored_version,
+            store_outdated=self._monitor.outdated,
             forked=self._versions.forked,
         )
 
     def accept(self, snapshot: snapshots.Snapshot) -> bool:
-        """Put a version in force here, and tell peers; False: not higher."""
+        """Put a version in force and announce it, if it is higher.
+
+        Returns whether it came into force.
+        """
         return self._versions.accept(snapshot)
 
     def heard_version(self, peer: str, version: int) -> None:
-        """Note which version a peer has; a higher one is pulled."""
+        """Record the version of a peer; a higher one is pulled."""
         if self._versions.version and version <= self._versions.version:
-            self._told.pop(peer, None)
+            self._peer_versions.pop(peer, None)
             return
-        self._told[peer] = version
+        self._peer_versions[peer] = version
         if version:
             self._wake.set()
 
     def receive(self, sender: str, message: object) -> None:
-        """Take one of this folder's messages from a peer.
+        """Handle a message about the configuration from a peer.
 
         Raises
         ------
         MessageInvalid
-            The message belongs to another part.
+            The message is not about the configuration.
         """
         _handle(message, self, sender)
 
     def answer(self, sender: str, message: object) -> None:
-        """Send a peer what it asked for; it asks again if that is lost."""
+        """Send an answer; a peer repeats its request if the answer is lost."""
         self._outbox.send(sender, message)
 
     @property
     def versions(self) -> versions.Versions:
-        """The versions at hand."""
+        """The versions that this instance holds."""
         return self._versions
 
     @property
     def puller(self) -> pulling.Puller:
-        """The conversation that answers belong to."""
+        """The puller, which receives the answers of peers."""
         return self._puller
 
-    def _catch_up(self) -> None:
-        self._find_first()
+    def _keep_pulling(self) -> None:
+        self._load_first_version()
         while True:
             self._wake.wait()
             self._wake.clear()
             self._pull_highest()
 
     def _pull_highest(self) -> bool:
-        return any(self._pull_from(peer) for peer in self._list_ahead())
+        return any(self._pull_from(peer) for peer in self._list_newer_peers())
 
-    def _list_ahead(self) -> list[str]:
+    def _list_newer_peers(self) -> list[str]:
         version = self._versions.version
-        ahead = [peer for peer, told in self._told.items() if told > version]
-        random.shuffle(ahead)
-        return sorted(ahead, key=lambda peer: -self._told[peer])
+        newer_peers = [
+            peer
+            for peer, peer_version in self._peer_versions.items()
+            if peer_version > version
+        ]
+        random.shuffle(newer_peers)
+        return sorted(newer_peers, key=lambda peer: -self._peer_versions[peer])
 
     def _pull_from(self, peer: str) -> bool:
-        # Told only once: a peer that could not deliver tells again with its
-        # next probe, and is not asked in a loop until then.
-        version = self._told.pop(peer, 0)
+        # The recorded version is removed, so that a failing peer is not
+        # requested again in a loop. Its next probe records it again.
+        version = self._peer_versions.pop(peer, 0)
         if version <= self._versions.version:
             return True
         try:
@@ -243,84 +252,93 @@
         self.accept(pulled)
         return True
 
-    def _find_first(self) -> None:
-        """Find a version to start with, after a start without memory.
+    def _load_first_version(self) -> None:
+        """Obtain the first version after a start.
 
-        One lagging peer must not decide, or this instance would serve an
-        old version: several peers are asked, and the highest is taken.
-        Peers that have none count as asked. Where too few answer, only the
-        key-value service decides, and until it does nothing is in force:
-        the instance is not ready.
+        Several peers are queried and the highest version is used, because
+        relying on a single lagging peer would put an old version in force.
+        Answers of peers without a version count as well. If too few peers
+        answer, the version is read from the key-value service. Until one of
+        them succeeds no version is in force and the instance is not ready.
         """
-        may_read = time.monotonic() + self._watching.choose_start()
+        next_read = time.monotonic() + self._monitor.choose_start_delay()
         while not self._versions.version:
-            self._ask_peers()
-            gevent.sleep(random.uniform(0.5, 1) * _ASK_SECONDS)
-            if self._is_enough_told() and self._pull_first():
+            self._query_peers()
+            gevent.sleep(random.uniform(0.5, 1) * _QUERY_SECONDS)
+            if self._has_enough_answers() and self._pull_first_version():
                 continue
-            if time.monotonic() < may_read or not self._watching.is_watcher():
+            if time.monotonic() < next_read or not self._monitor.is_watcher():
                 continue
-            # Peers are asked on meanwhile: they may be back sooner.
-            may_read = time.monotonic() + self._watching.choose_wait()
-            self._read_first()
+            # Peers are still queried between reads, because they may become
+            # reachable before the key-value service does.
+            next_read = time.monotonic() + self._monitor.choose_check_delay()
+            self._read_first_version()
 
-    def _pull_first(self) -> bool:
-        """Pull the highest version told, and no lower one if that fails.
+    def _pull_first_version(self) -> bool:
+        """Pull the highest version of the peers, or none if that fails.
 
-        Otherwise a lagging peer would decide whenever the others are slow.
+        Falling back to a lower version would put the version of a lagging
+        peer in force whenever the other peers are slow.
         """
-        ahead = self._list_ahead()
-        highest = self._told[ahead[0]] if ahead else 0
-        first = [peer for peer in ahead if self._told[peer] == highest]
-        return any(self._pull_from(peer) for peer in first)
-
-    def _ask_peers(self) -> None:
-        others = self._list_others()
-        asked = random.sample(others, min(_ASKED_PEERS, len(others)))
-        for peer in asked:
+        newer_peers = self._list_newer_peers()
+        highest = self._peer_versions[newer_peers[0]] if newer_peers else 0
+        candidates = [
+            peer
+            for peer in newer_peers
+            if self._peer_versions[peer] == highest
+        ]
+        return any(self._pull_from(peer) for peer in candidates)
+
+    def _query_peers(self) -> None:
+        peers = self._list_peers()
+        queried = random.sample(peers, min(_QUERIED_PEERS, len(peers)))
+        for peer in queried:
             self._outbox.send(peer, messages.VersionRequest(version=0))
 
-    def _list_others(self) -> list[str]:
+    def _list_peers(self) -> list[str]:
         live = self._roster.live()
         return [each.name for each in live if each.name != self._name]
 
-    def _is_enough_told(self) -> bool:
-        others = self._list_others()
-        answered = sum(peer in self._told for peer in others)
-        return 0 < min(_ENOUGH_PEERS, len(others)) <= answered
+    def _has_enough_answers(self) -> bool:
+        peers = self._list_peers()
+        answered = sum(peer in self._peer_versions for peer in peers)
+        return 0 < min(_REQUIRED_ANSWERS, len(peers)) <= answered
 
-    def _read_first(self) -> None:
-        """Read the service, and prefer a peer that has a higher version."""
-        stored = self._watching.read()
+    def _read_first_version(self) -> None:
+        """Read the store, and prefer a peer that has a higher version."""
+        stored = self._monitor.read()
         if stored is None or stored.manifest is None:
             return
-        ahead = self._list_ahead()
-        if ahead and self._told[ahead[0]] > stored.version:
-            self._pull_first()
+        newer_peers = self._list_newer_peers()
+        if (
+            newer_peers
+            and self._peer_versions[newer_peers[0]] > stored.version
+        ):
+            self._pull_first_version()
             return
-        self._watching.load(stored.manifest)
+        self._monitor.load(stored.manifest)
 
-    def _tell_on(self) -> None:
-        news = self._versions.news
+    def _announce_versions(self) -> None:
+        changed = self._versions.changed
         while True:
-            news.wait()
-            news.clear()
-            for _ in range(_TELL_ROUNDS):
-                self._tell_some()
-                gevent.sleep(random.uniform(0.5, 1) * _TELL_SECONDS)
-
-    def _tell_some(self) -> None:
-        others = self._list_others()
+            changed.wait()
+            changed.clear()
+            for _ in range(_ANNOUNCE_ROUNDS):
+                self._announce_once()
+                gevent.sleep(random.uniform(0.5, 1) * _ANNOUNCE_SECONDS)
+
+    def _announce_once(self) -> None:
+        peers = self._list_peers()
         notice = self._versions.make_notice()
-        for peer in random.sample(others, min(_TOLD_PEERS, len(others))):
+        for peer in random.sample(peers, min(_ANNOUNCED_PEERS, len(peers))):
             self._outbox.send(peer, notice)
 
 
 @functools.singledispatch
 def _handle(message: object, spread: Spread, sender: str) -> None:
     raise errors.MessageInvalid(
-        f'{type(message).__name__} is no message about the configuration; '
-        'hand it to the part it belongs to'
+        f'{type(message).__name__} is not a message about the configuration; '
+        'pass it to the component that handles it'
     )
 
 
--- a/src/amaranthslip/configuration/store.py
+++ b/src/amaranthslip/configuration/store.py
@@ -1,7 +1,7 @@
-"""The versions in the platform's key-value service.
+"""Storage of versions in the platform's key-value service.
 
-Parts are written first, the manifest last and by compare-and-swap: whoever
-dies in between leaves parts that no manifest names, and nothing else.
+Parts are written first, and the manifest last by compare-and-swap. A writer
+that is terminated in between leaves only parts that no manifest references.
 """
 
 import contextlib
@@ -21,22 +21,23 @@
 from amaranthslip import errors
 from amaranthslip import settings as settings_module
 
-_ATTEMPTS = 4
+_MAX_ATTEMPTS = 4
 _BACKOFF_SECONDS = 0.1
-_WRITERS = 8
-# From so many missing parts on, reading prefixes costs fewer calls: all
-# parts at once where a version has few, else in sixteen calls, so that each
-# answer stays well under a megabyte at 25,000 accounts.
-_BULK_PARTS = 4
-_FEW_PARTS = 32
+_CONCURRENT_WRITES = 8
+# From `_MIN_PREFIX_READ_PARTS` missing parts on, reading by key prefix needs
+# fewer calls than reading each part. Up to `_MAX_SINGLE_READ_PARTS` parts are
+# read in one call, and more in sixteen calls, so that each answer stays well
+# under a megabyte at 25,000 accounts.
+_MIN_PREFIX_READ_PARTS = 4
+_MAX_SINGLE_READ_PARTS = 32
 _HEX_DIGITS = '0123456789abcdef'
 
 _Result = typing.TypeVar('_Result')
-Pace = typing.Callable[[], float]
+MaxDelay = typing.Callable[[], float]
 
 
 class StoredManifest:
-    """The manifest as read, with the revision that a swap must expect."""
+    """A manifest read from the store, with the revision to swap against."""
 
     __slots__ = ('manifest', 'revision')
 
@@ -48,7 +49,7 @@
 
     @property
     def version(self) -> int:
-        """The accepted version, 0 where there is none yet."""
+        """The number of the accepted version, 0 if there is none."""
         return self.manifest.version if self.manifest is not None else 0
 
 
@@ -58,11 +59,12 @@
     Parameters
     ----------
     settings : Settings
-        `platform.prefix` says where the keys are.
+        `platform.prefix` is the prefix of all keys.
     client : KeyValue
-        The key-value service's client.
+        A client of the key-value service.
     backoff_seconds : float
-        The longest wait before a first retry; each further one doubles it.
+        The longest wait before the first retry, in seconds. It doubles with
+        each further retry.
     """
 
     __slots__ = (
@@ -86,14 +88,14 @@
         self._parts_prefix = prefix + 'parts/'
 
     def read_manifest(self) -> StoredManifest:
-        """Read the manifest: one call.
+        """Read the manifest with one call.
 
         Raises
         ------
         PlatformError
-            The service gave no answer.
+            The key-value service returned no usable answer.
         ConfigurationDamaged
-            The value is no manifest.
+            The value is not a manifest that this release can read.
         """
         entry = self._client.get(self._manifest_key)
         if entry is None:
@@ -105,9 +107,10 @@
     def watch_manifests(
         self,
     ) -> typing.Iterator[typing.Iterator[manifests.Manifest]]:
-        """Open a watch: an iterator of the manifests written from now on."""
+        """Watch the manifest: iterate over those written from now on."""
         with self._client.watch(self._manifest_key) as entries:
-            # A deleted manifest has no value; the check read reports it.
+            # A deletion has no value and is skipped here. The periodic read of
+            # the manifest reports it.
             yield (
                 manifests.decode_manifest(entry.value)
                 for entry in entries
@@ -119,67 +122,79 @@
         manifest: manifests.Manifest,
         *,
         previous: snapshots.Snapshot | None = None,
-        pace: Pace | None = None,
+        max_delay: MaxDelay | None = None,
     ) -> snapshots.Snapshot:
-        """Read what a version needs beyond the previous one.
+        """Read the parts of a version that the previous one lacks.
 
         Parameters
         ----------
-        pace : callable or None
-            Returns the most seconds to wait before the next call, at
-            random, so that many instances that read at once do not add up
-            to a burst.
+        max_delay : callable or None
+            Returns the maximum of the random delay before the next call, in
+            seconds. The delay spreads the calls of many instances that read
+            at the same time.
+
+        Raises
+        ------
+        PlatformError
+            The key-value service returned no usable answer.
+        ConfigurationDamaged
+            A part is missing or does not match its digest.
         """
 
         def fetch(digests: typing.Sequence[str]) -> dict[str, bytes]:
-            return self.fetch(digests, pace=pace)
+            return self.fetch(digests, max_delay=max_delay)
 
         return snapshots.load(manifest, fetch, previous=previous)
 
     def fetch(
-        self, digests: typing.Sequence[str], *, pace: Pace | None = None
+        self,
+        digests: typing.Sequence[str],
+        *,
+        max_delay: MaxDelay | None = None,
     ) -> dict[str, bytes]:
-        """Read parts: a call each, or by prefixes where they are many."""
-        if len(digests) < _BULK_PARTS:
-            return self._fetch_each(digests, pace)
-        starts = ('',) if len(digests) <= _FEW_PARTS else _HEX_DIGITS
+        """Read a few parts with a call each, and more by key prefix."""
+        if len(digests) < _MIN_PREFIX_READ_PARTS:
+            return self._fetch_each(digests, max_delay)
+        prefixes = (
+            ('',) if len(digests) <= _MAX_SINGLE_READ_PARTS else _HEX_DIGITS
+        )
         wanted = set(digests)
         found = {}
-        for start in starts:
-            _wait(pace)
-            for entry in self.list_parts(start):
+        for digest_prefix in prefixes:
+            _delay_call(max_delay)
+            for entry in self.list_parts(digest_prefix):
                 digest = self.get_digest(entry)
                 if digest in wanted:
                     found[digest] = entry.value
         return found
 
     def _fetch_each(
-        self, digests: typing.Sequence[str], pace: Pace | None
+        self, digests: typing.Sequence[str], max_delay: MaxDelay | None
     ) -> dict[str, bytes]:
         found = {}
         for digest in digests:
-            _wait(pace)
+            _delay_call(max_delay)
             entry = self._client.get(self._parts_prefix + digest)
             if entry is not None:
                 found[digest] = entry.value
         return found
 
-    def list_parts(self, start: str) -> list[keyvalue.Entry]:
-        """Return the stored parts whose digests start so."""
-        return self._client.read_prefix(self._parts_prefix + start)
+    def list_parts(self, digest_prefix: str) -> list[keyvalue.Entry]:
+        """Return the stored parts whose digests start with a prefix."""
+        return self._client.read_prefix(self._parts_prefix + digest_prefix)
 
     def get_digest(self, entry: keyvalue.Entry) -> str:
-        """Return the digest that a stored part's key names."""
+        """Return the digest in the key of a stored part."""
         return entry.key.removeprefix(self._parts_prefix)
 
     def delete_part(self, entry: keyvalue.Entry) -> bool:
-        """Delete a part unless it was written again since it was listed."""
+        """Delete a part unless it was rewritten since it was listed."""
         return self._client.delete(entry.key, expected=entry.revision)
 
     def swap_manifest(
         self, manifest: manifests.Manifest, *, expected: int
     ) -> bool:
-        """Swap the manifest once; returns whether the comparison held."""
+        """Send one swap of the manifest; return whether it succeeded."""
         data = manifests.encode_manifest(manifest)
         revision = self._client.swap(
             self._manifest_key, data, expected=expected
@@ -188,7 +203,7 @@
 
     def publish(
         self,
-        whole: document.Document,
+        full_document: document.Document,
         stored: StoredManifest,
         *,
         author: str,
@@ -196,31 +211,35 @@
         submission: str = '',
         previous: snapshots.Snapshot | None = None,
     ) -> snapshots.Snapshot | None:
-        """Write a version's parts, then swap the manifest.
+        """Write the parts of a version, then swap the manifest.
 
         Parameters
         ----------
         stored : StoredManifest
-            What was read before: the swap holds only against it.
+            The manifest read before, against which the swap is made.
         version : int
-            The new version's number.
+            The number of the new version.
         previous : Snapshot or None
-            The stored version, if it is at hand.
+            The stored version, if the caller has it in memory.
 
         Returns
         -------
         Snapshot or None
-            The accepted version, or None where another writer was first.
+            The accepted version, or None if the manifest was changed
+            meanwhile.
 
         Raises
         ------
         ConfigurationRefused
-            Surely not applied, with the reason.
+            The version was certainly not applied.
         ConfigurationUnknown
-            The swap's answer was lost, and reading did not settle it.
+            The answer to the swap was lost, and reading the manifest did not
+            determine the outcome.
         """
-        present = self._read_index(stored, previous)
-        index_part, index, contents = snapshots.cut(whole, present)
+        stored_index = self._read_index(stored, previous)
+        index_part, index, contents = snapshots.split_document(
+            full_document, stored_index
+        )
         accepted = manifests.Acceptance(
             version=version,
             submission=submission or uuid.uuid4().hex,
@@ -230,15 +249,15 @@
         )
         manifest = manifests.Manifest(accepted=accepted)
         if stored.manifest is not None:
-            manifest = stored.manifest.follow(accepted)
+            manifest = stored.manifest.make_successor(accepted)
         snapshot = snapshots.Snapshot(
             manifest=manifest,
             index_part=index_part,
             index=index,
             contents=contents,
         )
-        self._write_parts(snapshot, stored, present)
-        return snapshot if self._settle(manifest, stored) else None
+        self._write_parts(snapshot, stored, stored_index)
+        return snapshot if self._swap_and_verify(manifest, stored) else None
 
     def _read_index(
         self, stored: StoredManifest, previous: snapshots.Snapshot | None
@@ -257,11 +276,11 @@
         self,
         snapshot: snapshots.Snapshot,
         stored: StoredManifest,
-        present: manifests.Index | None,
+        stored_index: manifests.Index | None,
     ) -> None:
-        """Write every part that the manifest read before does not name."""
-        referenced = _list_referenced(stored, present)
-        needed = [
+        """Write every part that the stored version does not reference."""
+        referenced = _list_referenced(stored, stored_index)
+        unwritten = [
             part
             for part in [*snapshot.parts.values(), snapshot.index_part]
             if part.digest not in referenced
@@ -270,52 +289,59 @@
         def write(part: parts.Part) -> None:
             self._write_part(part, stored.revision)
 
-        writers = pool.Pool(_WRITERS)
-        for _ in writers.imap_unordered(write, needed):
+        writers = pool.Pool(_CONCURRENT_WRITES)
+        for _ in writers.imap_unordered(write, unwritten):
             pass
 
-    def _write_part(self, part: parts.Part, since: int) -> None:
-        """Make sure of a part that was written after the manifest was read.
+    def _write_part(self, part: parts.Part, manifest_revision: int) -> None:
+        """Write a part unless it was written after the manifest revision.
 
-        One that is there from before is written again: a collector may have
-        listed it as unreferenced, and deletes it only at the revision that
-        it listed. One whose revision is above the manifest's is safe as it
-        is: whoever lists it must then swap the manifest, and our own swap
-        fails. (The service counts one revision for all keys.)
+        An older part with the same content is rewritten, because a collector
+        may have listed it as unreferenced; the collector deletes it only at
+        the listed revision. A part whose revision is above that of the
+        manifest needs no rewrite: a collector that lists it has to swap the
+        manifest before it deletes, which makes the swap of this writer fail.
+        The comparison is valid because the service uses one revision counter
+        for all keys.
         """
         key = self._parts_prefix + part.digest
-        tries = iter(range(_ATTEMPTS))
+        tries = iter(range(_MAX_ATTEMPTS))
 
         def write() -> None:
-            # After a lost answer a read tells whether the write is there.
-            present = self._client.get(key) if next(tries) else None
-            while present is None or present.revision <= since:
-                expected = present.revision if present is not None else 0
+            # The first attempt assumes that the part is absent. After a lost
+            # answer a read shows whether the write took effect.
+            entry = self._client.get(key) if next(tries) else None
+            while entry is None or entry.revision <= manifest_revision:
+                expected = entry.revision if entry is not None else 0
                 if self._client.swap(key, part.data, expected=expected):
                     return
-                present = self._client.get(key)
+                entry = self._client.get(key)
 
         self._retry(write)
 
-    def _settle(
+    def _swap_and_verify(
         self, manifest: manifests.Manifest, stored: StoredManifest
     ) -> bool:
-        """Swap the manifest and find out what became of it.
+        """Swap the manifest and determine whether the swap succeeded.
 
-        A lost answer says nothing: the swap may have taken effect, or may
-        yet. Once the manifest has moved on it can't any more, and the
-        submission's id, there or not there, is the whole truth. Until then
-        the very same swap is sent again, which is harmless, since at most
-        one of them can hold.
+        If the answer is lost, the swap may have taken effect or may still do
+        so. Once the manifest has another revision it can no longer take
+        effect, and whether the manifest lists the submission's id is then
+        conclusive. Until then the same swap is sent again. That is safe,
+        because at most one of the swaps can succeed.
         """
         submission = manifest.accepted.submission
-        for attempt in range(_ATTEMPTS):
+        for attempt in range(_MAX_ATTEMPTS):
             try:
-                outcome = self._look(manifest, stored) if attempt else None
+                outcome = (
+                    self._read_swap_outcome(manifest, stored)
+                    if attempt
+                    else None
+                )
                 if outcome is None:
                     if self.swap_manifest(manifest, expected=stored.revision):
                         return True
-                    outcome = self._look(manifest, stored)
+                    outcome = self._read_swap_outcome(manifest, stored)
                 if outcome is not None:
                     return outcome
             except (
@@ -323,27 +349,30 @@
                 errors.PlatformRefused,
             ) as error:
                 if attempt == 0:
-                    raise _refuse(error) from None
+                    raise _make_refusal(error) from None
             except errors.PlatformError:
                 pass
             self._back_off(attempt)
         raise errors.ConfigurationUnknown(
             f'version {manifest.version} may have been accepted: the '
-            'key-value service took the submission and its answer was lost. '
+            'answer of the key-value service to the submission was lost. '
             f'Look in the history for the submission {submission}: if it is '
-            'there it is in force, and if a higher version is there without '
-            'it, it never will be',
+            'listed, it was accepted; if a higher version is listed and the '
+            'submission is not, it will not be accepted',
             submission=submission,
             version=manifest.version,
         )
 
-    def _look(
+    def _read_swap_outcome(
         self, manifest: manifests.Manifest, stored: StoredManifest
     ) -> bool | None:
-        """Read whether a swap held; None: it may yet.
+        """Read whether a swap succeeded; None if it still may.
 
-        The history is long enough for a plain answer unless many versions
-        were accepted in between.
+        Raises
+        ------
+        AnswerLost
+            More versions were accepted since than the history holds, so that
+            it can't show whether the swap succeeded.
         """
         current = self.read_manifest()
         if current.manifest is None or current.revision == stored.revision:
@@ -356,21 +385,21 @@
             return False
         if current.manifest.find_version(stored.version) is not None:
             return False
-        raise errors.AnswerLost('the history is too short to tell')
+        raise errors.AnswerLost('the history is too short to decide')
 
     def _back_off(self, attempt: int) -> None:
-        most = self._backoff_seconds * 2**attempt
-        gevent.sleep(random.uniform(0, most))
+        max_seconds = self._backoff_seconds * 2**attempt
+        gevent.sleep(random.uniform(0, max_seconds))
 
     def _retry(self, call: typing.Callable[[], _Result]) -> _Result:
-        """Repeat a call that may be repeated, before the manifest's swap."""
-        for attempt in range(_ATTEMPTS):
+        """Retry an idempotent call made before the manifest is swapped."""
+        for attempt in range(_MAX_ATTEMPTS):
             try:
                 return call()
             except errors.PlatformError as error:
                 last = error
                 self._back_off(attempt)
-        raise _refuse(last)
+        raise _make_refusal(last)
 
 
 def _list_referenced(
@@ -381,15 +410,15 @@
     return {stored.manifest.accepted.index, *index.digests}
 
 
-def _wait(pace: Pace | None) -> None:
-    if pace is not None:
-        gevent.sleep(random.uniform(0, pace()))
+def _delay_call(max_delay: MaxDelay | None) -> None:
+    if max_delay is not None:
+        gevent.sleep(random.uniform(0, max_delay()))
 
 
-def _refuse(error: errors.PlatformError) -> errors.ConfigurationRefused:
+def _make_refusal(error: errors.PlatformError) -> errors.ConfigurationRefused:
     return errors.ConfigurationRefused(
         'service_unavailable',
-        f'the key-value service gave no answer, and nothing was applied: '
-        f'what is in force stays in force. Submit again once the service is '
-        f'back ({error})',
+        f'the key-value service did not answer, and nothing was applied: '
+        f'the version in force stays in force. Submit again when the service '
+        f'is available ({error})',
     )
--- a/src/amaranthslip/configuration/submission.py
+++ b/src/amaranthslip/configuration/submission.py
@@ -1,4 +1,4 @@
-"""Submitting a version: the one way for command line, API and console."""
+"""Submission of versions by the command line, the API and the console."""
 
 import typing
 
@@ -11,25 +11,27 @@
 from amaranthslip.configuration import validation
 from amaranthslip import errors
 
-# Collections fence writers off; two in one submission's time are rare.
-_ROUNDS = 4
+# The number of attempts. A garbage collection of parts makes the manifest
+# swap fail, and two collections during one submission are rare.
+_MAX_ATTEMPTS = 4
 
 
 class Submission:
-    """Validates documents and has them accepted.
+    """Validates documents and submits them to the store.
 
-    Without a holder (the command line) only the key-value service is
-    called; with one (a router) versions that the fleet has in force are
-    known even where the service came back with an older one.
+    Without a holder, as in the command line, only the key-value service is
+    consulted. With a holder, as in a router, the version in force on the
+    instance is taken into account as well, which may be higher if the service
+    was restored with an older version.
 
     Parameters
     ----------
     store : Store
-        Where versions are accepted.
+        Stores the accepted versions.
     holder : Holder or None
         The version in force on this instance.
     accepted : callable or None
-        Called with the snapshot of each accepted version, to spread it.
+        Called with the snapshot of each accepted version, to propagate it.
 
     Examples
     --------
@@ -61,7 +63,7 @@
         floor: int = 0,
         submission: str = '',
     ) -> snapshots.Snapshot:
-        """Validate a document and have it accepted as the next version.
+        """Validate a document and submit it as the next version.
 
         Parameters
         ----------
@@ -70,72 +72,77 @@
         base : int
             The version that the document was made from; 0 for the first.
         author : str
-            Who submits, for the history.
+            The name of the submitter, for the history.
+        source : str
+            The file or request that error messages name.
         floor : int
-            The highest version that the fleet is known to have in force.
-            Matters after the service was restored with an older version:
-            the new one's number is then one above the floor, so that every
-            instance takes it.
+            The highest version known to be in force in the fleet. After the
+            key-value service was restored with an older version it makes the
+            new number one above the floor, so that every instance applies the
+            new version.
         submission : str
-            A random id to find the submission by; one is made if empty.
+            A random id that identifies the submission; generated if empty.
 
         Raises
         ------
         SettingsInvalid
-            With every mistake of the document.
+            The document has mistakes; all of them are included.
         ConfigurationConflict
             Another version was accepted since the base.
         ConfigurationRefused
-            Surely not applied, with the reason.
+            The document was certainly not applied.
         ConfigurationUnknown
-            It may have been applied, and how to find out.
+            The document may have been applied; the message says how to find
+            out.
         """
-        whole = validation.validate(values, source=source)
+        full_document = validation.validate(values, source=source)
         if self._holder is not None:
             floor = max(floor, self._holder.document.version)
-        for _ in range(_ROUNDS):
+        for _ in range(_MAX_ATTEMPTS):
             stored = self._read_manifest()
             if base != max(stored.version, floor):
-                raise self._make_conflict(whole, stored, base, floor)
-            whole.version = base + 1
-            snapshot = self._publish(whole, stored, author, submission)
+                raise self._make_conflict(full_document, stored, base, floor)
+            full_document.version = base + 1
+            snapshot = self._publish_document(
+                full_document, stored, author, submission
+            )
             if snapshot is not None:
                 if self._accepted is not None:
                     self._accepted(snapshot)
                 return snapshot
         raise errors.ConfigurationRefused(
             'busy',
-            'the manifest changed again and again while the parts were '
-            'written, and nothing was applied: submit again',
+            'the manifest changed repeatedly while the parts were written, '
+            'and nothing was applied: submit again',
         )
 
     def load_history(self) -> list[manifests.Acceptance]:
-        """Return the versions that the service knows, newest first."""
+        """Return the versions that the manifest lists, newest first."""
         stored = self._read_manifest()
         if stored.manifest is None:
             return []
         return stored.manifest.list_versions()
 
     def load_document(self) -> document.Document:
-        """Return the document that the service holds (version 0: none)."""
+        """Return the stored document; its version is 0 if there is none."""
         stored = self._read_manifest()
         if stored.manifest is None:
             return document.Document()
         return self._load(stored.manifest).document
 
-    def _publish(
+    def _publish_document(
         self,
-        whole: document.Document,
+        full_document: document.Document,
         stored: store_module.StoredManifest,
         author: str,
         submission: str,
     ) -> snapshots.Snapshot | None:
         try:
             return self._store.publish(
-                whole,
+                full_document,
                 stored,
                 author=author,
-                version=whole.version,
+                version=full_document.version,
                 submission=submission,
             )
         except errors.ConfigurationDamaged as damage:
@@ -148,7 +155,7 @@
             raise errors.ConfigurationRefused(
                 'service_unavailable',
                 f'the key-value service did not answer ({error}), and '
-                'nothing was applied: submit again once it is back',
+                'nothing was applied: submit again when it is available',
             ) from None
         except errors.ConfigurationDamaged as damage:
             raise errors.ConfigurationRefused('damaged', str(damage)) from None
@@ -164,33 +171,40 @@
 
     def _make_conflict(
         self,
-        whole: document.Document,
+        full_document: document.Document,
         stored: store_module.StoredManifest,
         base: int,
         floor: int,
     ) -> errors.ConfigurationConflict:
         current = max(stored.version, floor)
-        present = self._find_present(stored)
-        difference = theirs = None
-        if present is not None:
-            difference = differences.compare(present, whole)
-            theirs = self._find_theirs(stored.manifest, base, present)
+        current_document = self._load_current(stored)
+        difference = accepted_changes = None
+        if current_document is not None:
+            difference = differences.compare(current_document, full_document)
+            accepted_changes = self._compare_with_base(
+                stored.manifest, base, current_document
+            )
         return errors.ConfigurationConflict(
             f'this document was made from version {base}, but version '
             f'{current} is accepted: nothing was applied. Read version '
-            f'{current}, make the change in it, and submit on top of it',
+            f'{current}, make the change in it and submit it with that base',
             base=base,
             current=current,
             difference=difference,
-            theirs=theirs,
+            theirs=accepted_changes,
         )
 
-    def _find_present(
+    def _load_current(
         self, stored: store_module.StoredManifest
     ) -> document.Document | None:
-        held = self._holder.document if self._holder is not None else None
-        if held is not None and held.version >= stored.version:
-            return held
+        document_in_force = (
+            self._holder.document if self._holder is not None else None
+        )
+        if (
+            document_in_force is not None
+            and document_in_force.version >= stored.version
+        ):
+            return document_in_force
         if stored.manifest is None:
             return None
         try:
@@ -198,17 +212,21 @@
         except (errors.PlatformError, errors.ConfigurationDamaged):
             return None
 
-    def _find_theirs(
+    def _compare_with_base(
         self,
         manifest: manifests.Manifest | None,
         base: int,
-        present: document.Document,
+        current_document: document.Document,
     ) -> differences.Difference | None:
-        before = manifest.find_version(base) if manifest is not None else None
-        if before is None:
+        base_version = (
+            manifest.find_version(base) if manifest is not None else None
+        )
+        if base_version is None:
             return None
         try:
-            old = self._store.load(manifests.Manifest(accepted=before))
+            base_snapshot = self._store.load(
+                manifests.Manifest(accepted=base_version)
+            )
         except (errors.PlatformError, errors.ConfigurationDamaged):
             return None
-        return differences.compare(old.document, present)
+        return differences.compare(base_snapshot.document, current_document)
--- a/src/amaranthslip/configuration/validation.py
+++ b/src/amaranthslip/configuration/validation.py
@@ -1,4 +1,4 @@
-"""From parsed values to a document, with every mistake named at once."""
+"""Validation of parsed values, which reports all mistakes together."""
 
 import typing
 
@@ -10,7 +10,7 @@
 
 Values = dict[str, list[dict[str, typing.Any]]]
 
-_MOST_MISTAKES = 1000
+_MAX_MISTAKES = 1000
 
 
 def validate(
@@ -18,29 +18,30 @@
 ) -> document.Document:
     """Check parsed values and build the document from them.
 
-    Other greenlets run in between, so that a large document holds nothing
-    up.
+    The function yields to other greenlets regularly, so that a large document
+    does not block them.
 
     Parameters
     ----------
     values : object
-        What a JSON or TOML parser returned: a table of sections, each a
-        list of items.
+        The result of a JSON or TOML parser: a table of sections, each of
+        which is a list of items.
     version : int
-        The version that the document gets.
+        The version number of the document.
     source : str
-        The file or request that mistakes name.
+        The file or request that error messages name.
 
     Raises
     ------
     SettingsInvalid
-        With one SettingError for each mistake (the first thousand).
+        The values have mistakes. It contains one SettingError for each of the
+        first 1,000.
     """
     pacer = pacing.Pacer()
     mistakes = []
     for mistake in find_mistakes(values, source=source, pacer=pacer):
         mistakes.append(mistake)
-        if len(mistakes) == _MOST_MISTAKES:
+        if len(mistakes) == _MAX_MISTAKES:
             break
     if mistakes:
         raise errors.SettingsInvalid('configuration invalid', mistakes)
@@ -50,7 +51,7 @@
 def find_mistakes(
     values: object, *, source: str, pacer: pacing.Pacer
 ) -> typing.Iterator[errors.SettingError]:
-    """Yield every mistake: of single items first, then across sections."""
+    """Yield the mistakes of single items, then those across sections."""
     if not isinstance(values, dict):
         yield errors.SettingError(source, '(all)', values, 'a table')
         return
@@ -58,18 +59,18 @@
     for name in values.keys() - document.SECTION_CLASSES.keys():
         found = values[name]
         yield errors.SettingError(source, str(name), found, names)
-    sound: Values = {}
+    section_lists: Values = {}
     for section in document.SECTION_CLASSES:
         items = values.get(section, [])
         if not isinstance(items, list):
             yield errors.SettingError(source, section, items, 'a list')
             continue
-        sound[section] = items
+        section_lists[section] = items
         for index, item in enumerate(items):
             pacer.pause()
             path = f'{section}[{index}]'
             yield from _find_item_mistakes(section, item, path, source)
-    yield from rules.find_mistakes(sound, source=source, pacer=pacer)
+    yield from rules.find_mistakes(section_lists, source=source, pacer=pacer)
 
 
 def _find_item_mistakes(
--- a/src/amaranthslip/configuration/versions.py
+++ b/src/amaranthslip/configuration/versions.py
@@ -1,4 +1,4 @@
-"""The versions that one instance has at hand, for itself and its peers."""
+"""The versions that an instance holds, for itself and for its peers."""
 
 import logging
 
@@ -14,20 +14,21 @@
 
 
 class Versions:
-    """The version in force with its parts, and the one before.
+    """The version in force and the previous one, with their parts.
 
-    The one before is kept for peers that are still pulling it. `news` is
-    set with each version that comes into force.
+    The previous version is kept for peers that are still pulling it. The
+    event `changed` is set when a version comes into force. `forked` is set
+    when another document with the number of the version in force was seen.
 
     Parameters
     ----------
     holder : Holder
-        Where versions come into force.
+        Holds the version in force.
     metrics : Metrics
         Counts `configuration` events.
     """
 
-    __slots__ = ('holder', 'news', 'forked', '_snapshots', '_metrics')
+    __slots__ = ('holder', 'changed', 'forked', '_snapshots', '_metrics')
 
     def __init__(
         self,
@@ -35,29 +36,29 @@
         metrics: metrics_module.Metrics,
     ) -> None:
         self.holder = holder
-        self.news = event.Event()
+        self.changed = event.Event()
         self.forked = False
         self._snapshots: list[snapshots.Snapshot] = []
         self._metrics = metrics
 
     @property
     def version(self) -> int:
-        """The number of the version in force, 0 where there is none."""
+        """The number of the version in force, 0 if there is none."""
         return self.holder.document.version
 
     @property
     def snapshot(self) -> snapshots.Snapshot | None:
-        """The version in force with its manifest, if there is any."""
+        """The version in force with its manifest, None if there is none."""
         return self._snapshots[0] if self._snapshots else None
 
     @property
     def submission(self) -> str:
-        """The id of the submission that the version in force came of."""
+        """The submission id of the version in force, empty if unknown."""
         snapshot = self.snapshot
         return snapshot.manifest.accepted.submission if snapshot else ''
 
     def accept(self, snapshot: snapshots.Snapshot) -> bool:
-        """Put a version in force here; False: it is not a higher one."""
+        """Put a version in force; return False if it is not higher."""
         accepted = snapshot.manifest.accepted
         if not self.holder.apply(snapshot.document):
             self.compare(accepted.version, accepted.submission)
@@ -76,15 +77,16 @@
                 'submission': accepted.submission,
             },
         )
-        self.news.set()
+        self.changed.set()
         return True
 
     def compare(self, version: int, submission: str) -> None:
-        """Report it if another document has the number of the one in force.
+        """Report another document with the number of the version in force.
 
-        That happens only when the key-value service was restored with an
-        older version and somebody submitted to it past the fleet. Which of
-        the two is right can't be told here, so neither replaces the other.
+        This happens only if the key-value service was restored with an older
+        version and a document was submitted to it without taking the version
+        in force into account. An instance can't determine which document is
+        the right one, so that neither replaces the other.
         """
         if version != self.version or submission == self.submission:
             return
@@ -96,20 +98,20 @@
                     'version': version,
                     'remedy': 'two documents have this number, because the'
                     ' key-value service was restored with an older version'
-                    ' and submitted to past the fleet. Submit the right'
-                    ' document on top of it',
+                    ' and a document was submitted directly to it. Submit the'
+                    ' right document with this version as the base',
                 },
             )
         self.forked = True
 
     def make_notice(self) -> messages.VersionNotice:
-        """Return what tells peers of the version in force."""
+        """Return the message that announces the version in force."""
         return messages.VersionNotice(
             version=self.version, submission=self.submission
         )
 
     def make_manifest_answer(self) -> messages.ManifestAnswer:
-        """Return the manifest in force for a peer."""
+        """Return the answer to a peer's request for the manifest."""
         snapshot = self.snapshot
         if snapshot is None:
             return messages.ManifestAnswer(version=0, data=b'')
@@ -119,7 +121,10 @@
         )
 
     def make_part_answer(self, digest: str) -> messages.PartAnswer:
-        """Return a part for a peer, empty where it is not at hand."""
+        """Return the answer to a peer's request for a part or an index.
+
+        Its data is empty if this instance does not hold the part.
+        """
         found = b''
         for snapshot in self._snapshots:
             found = found or snapshot.find_data(digest) or b''
--- a/src/amaranthslip/configuration/watchers.py
+++ b/src/amaranthslip/configuration/watchers.py
@@ -1,4 +1,4 @@
-"""Who watches the key-value service: a few instances per failure domain."""
+"""Selection of the instances that watch the key-value service."""
 
 import collections
 import typing
@@ -7,12 +7,12 @@
 from amaranthslip.members import members
 
 _PURPOSE = 'configuration-watch'
-# Two, so that one of them may be stopped or unable to reach the service.
-_PER_FAILURE_DOMAIN = 2
+# With two watchers one of them may be stopped or unable to reach the service.
+_WATCHERS_PER_FAILURE_DOMAIN = 2
 
 
 class Roster(typing.Protocol):
-    """What is asked of the members' roster."""
+    """The interface of the members' roster that is used here."""
 
     generation: int
 
@@ -21,11 +21,13 @@
 
 
 class Watchers:
-    """The watchers of the fleet, picked by rendezvous hashing.
+    """The watchers of the fleet, selected by rendezvous hashing.
 
-    Every instance works them out from its own roster. Two that disagree
-    for a while watch both, or neither watches and peers tell them: it
-    costs calls or fractions of a second, never correctness.
+    A few instances per failure domain are selected. Every instance computes
+    the selection from its own roster. While two rosters differ, both
+    instances may watch, or neither does and both receive new versions from
+    peers. This costs additional calls or a fraction of a second, and does not
+    affect correctness.
     """
 
     __slots__ = ('_roster', '_generation', '_names')
@@ -35,32 +37,32 @@
         self._generation = -1
         self._names: tuple[str, ...] = ()
 
-    def names(self) -> tuple[str, ...]:
-        """Return the watchers, highest rank first."""
+    def list_names(self) -> tuple[str, ...]:
+        """Return the names of the watchers, highest rank first."""
         if self._generation != self._roster.generation:
             self._generation = self._roster.generation
-            self._names = _pick(self._roster.live())
+            self._names = _select_watchers(self._roster.live())
         return self._names
 
     def includes(self, name: str) -> bool:
-        """Tell whether an instance is to watch.
+        """Return whether an instance has to watch.
 
-        One that is alone, or that its roster does not list, watches too:
-        it has nobody else to hear from.
+        An instance whose roster lists no other live instance always watches,
+        because there is no peer from which it could receive versions.
         """
-        return name in self.names() or self.is_alone()
+        return name in self.list_names() or self.is_alone()
 
     def is_alone(self) -> bool:
-        """Tell whether the roster knows of no other live instance."""
+        """Return whether the roster lists no other live instance."""
         return len(self._roster.live()) < 2
 
 
-def _pick(live: typing.Iterable[members.Member]) -> tuple[str, ...]:
+def _select_watchers(live: typing.Iterable[members.Member]) -> tuple[str, ...]:
     domains = collections.defaultdict(list)
     for member in live:
         rank = identity.rank(_PURPOSE, member.name)
         domains[member.failure_domain].append((rank, member.name))
-    picked = []
+    selected = []
     for ranked in domains.values():
-        picked += sorted(ranked, reverse=True)[:_PER_FAILURE_DOMAIN]
-    return tuple(name for _, name in sorted(picked, reverse=True))
+        selected += sorted(ranked, reverse=True)[:_WATCHERS_PER_FAILURE_DOMAIN]
+    return tuple(name for _, name in sorted(selected, reverse=True))
--- a/src/amaranthslip/configuration/watching.py
+++ b/src/amaranthslip/configuration/watching.py
@@ -1,4 +1,4 @@
-"""Hears of new versions from the key-value service, and checks it."""
+"""Monitoring of the key-value service for new versions."""
 
 import contextlib
 import logging
@@ -18,34 +18,40 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Check reads: so many a second by all watchers together, however many they
-# are. Each one waits for its turn, at random between half and one and a
-# half times that; the same waits are the backoff during an outage.
+# The total rate of check reads by all watchers of the fleet. The mean delay
+# between two reads of one watcher follows from the number of watchers. Each
+# delay is random between 0.5 and 1.5 times the mean. The same delays are the
+# backoff during an outage.
 _CHECKS_PER_SECOND = 2.0
-_LEAST_CHECK_SECONDS = 1.0
-_ROLE_SECONDS = 1.0
-_COLLECT_SECONDS = 1800.0
+_MIN_CHECK_SECONDS = 1.0
+_ROLE_CHECK_SECONDS = 1.0
+_COLLECTION_SECONDS = 1800.0
 
-# An instance that believes itself alone reads a first version slowly: it
-# may be one of hundreds that start at once and do not know one another yet.
-_START_SECONDS = 1.0
-_ALONE_START_SECONDS = 2.0
-_ALONE_PACE_SECONDS = 1.0
+# An instance whose roster lists no other live instance spreads the reads of
+# its first version over time: it may be one of hundreds that start at the same
+# time and have not discovered each other yet.
+_MAX_START_DELAY_SECONDS = 1.0
+_ALONE_MAX_START_DELAY_SECONDS = 2.0
+_ALONE_MAX_READ_DELAY_SECONDS = 1.0
 
 
-class Watching:
-    """One instance's part in watching the key-value service.
+class StoreMonitor:
+    """Watches, checks and cleans the store for one instance.
+
+    `stored_version` is the accepted version at the last read. `outdated` is
+    set while the key-value service holds a lower version than the one in
+    force.
 
     Parameters
     ----------
     name : str
-        This instance.
+        The name of this instance.
     versions : Versions
-        Where a version that is read comes into force.
+        Puts the versions that are read in force.
     store : Store
-        The versions in the service.
+        The versions in the key-value service.
     watchers : Watchers
-        Says whether this instance watches.
+        Determines whether this instance is a watcher.
     metrics : Metrics
         Counts `configuration` events.
     """
@@ -59,8 +65,8 @@
         '_watchers',
         '_metrics',
         '_collector',
-        '_check',
-        '_loading',
+        '_check_requested',
+        '_load_lock',
     )
 
     def __init__(
@@ -79,85 +85,89 @@
         self._watchers = watchers
         self._metrics = metrics
         self._collector = collection.Collector(store, metrics)
-        self._check = event.Event()
-        self._loading = lock.BoundedSemaphore()
+        self._check_requested = event.Event()
+        self._load_lock = lock.BoundedSemaphore()
 
     def is_watcher(self) -> bool:
-        """Tell whether this instance watches at present."""
+        """Return whether this instance is a watcher at present."""
         return self._watchers.includes(self._name)
 
-    def choose_wait(self) -> float:
-        """Return the seconds until this watcher's next check read."""
-        count = max(1, len(self._watchers.names()))
-        mean = max(_LEAST_CHECK_SECONDS, count / _CHECKS_PER_SECOND)
+    def choose_check_delay(self) -> float:
+        """Return the delay until the next check read, in seconds."""
+        count = max(1, len(self._watchers.list_names()))
+        mean = max(_MIN_CHECK_SECONDS, count / _CHECKS_PER_SECOND)
         return random.uniform(0.5, 1.5) * mean
 
-    def choose_start(self) -> float:
-        """Return the seconds to hold back the first read of all."""
+    def choose_start_delay(self) -> float:
+        """Return the delay before the first read after a start, in seconds."""
         alone = self._watchers.is_alone()
-        most = _ALONE_START_SECONDS if alone else _START_SECONDS
-        return random.uniform(0, most)
-
-    def keep_watching(self) -> None:
-        """Hold a watch for as long as this instance is a watcher."""
+        max_seconds = (
+            _ALONE_MAX_START_DELAY_SECONDS
+            if alone
+            else _MAX_START_DELAY_SECONDS
+        )
+        return random.uniform(0, max_seconds)
+
+    def run_watch(self) -> None:
+        """Keep a watch open while this instance is a watcher."""
         while True:
             if not self._versions.version or not self.is_watcher():
-                gevent.sleep(_ROLE_SECONDS)
+                gevent.sleep(_ROLE_CHECK_SECONDS)
                 continue
             with contextlib.ExitStack() as stack:
                 watching = gevent.spawn(self._watch)
                 stack.callback(watching.kill)
                 while self.is_watcher() and not watching.dead:
-                    watching.join(_ROLE_SECONDS)
-            gevent.sleep(self.choose_wait())
+                    watching.join(_ROLE_CHECK_SECONDS)
+            gevent.sleep(self.choose_check_delay())
 
     def _watch(self) -> None:
         try:
-            with self._store.watch_manifests() as written:
-                # What was accepted before the watch began is read once.
-                self._check.set()
-                for manifest in written:
-                    self._consider(manifest)
+            with self._store.watch_manifests() as manifests_written:
+                # A read finds versions accepted before the watch was opened.
+                self._check_requested.set()
+                for manifest in manifests_written:
+                    self._load_newer(manifest)
         except errors.PlatformError:
             self._metrics.count('configuration', 'watch_failed')
         except errors.ConfigurationDamaged as damage:
             self._report_damage(damage)
 
-    def keep_checking(self) -> None:
-        """Read the manifest now and then, in case the watch says nothing.
+    def run_checks(self) -> None:
+        """Read the manifest periodically, in case the watch has stopped.
 
-        A watch that has silently stopped looks like a service where nothing
-        changes, for ever; the read shows what it kept back.
+        A watch that silently stopped can't be distinguished from a service
+        without changes. The read finds versions that the watch missed.
         """
         while True:
-            self._check.wait(self.choose_wait())
-            self._check.clear()
+            self._check_requested.wait(self.choose_check_delay())
+            self._check_requested.clear()
             if not self._versions.version:
-                # The start reads for itself, at its own pace.
-                gevent.sleep(_ROLE_SECONDS)
+                # The first version is read in `Spread`, at another rate.
+                gevent.sleep(_ROLE_CHECK_SECONDS)
             elif self.is_watcher():
                 self._check_store()
 
     def _check_store(self) -> None:
-        before = self._versions.version
+        in_force = self._versions.version
         stored = self.read()
         if stored is None:
             return
-        # Compared with what was in force before the read: one that was
-        # accepted meanwhile is rightly missing from the answer.
-        self._note_outdated(stored.version, before)
+        # The comparison uses the version in force before the read, because
+        # the answer need not contain a version that was accepted meanwhile.
+        self._report_outdated(stored.version, in_force)
         if stored.manifest is not None:
-            self._consider(stored.manifest)
+            self._load_newer(stored.manifest)
 
-    def _consider(self, manifest: manifests.Manifest) -> None:
-        with self._loading:
+    def _load_newer(self, manifest: manifests.Manifest) -> None:
+        with self._load_lock:
             if manifest.version > self._versions.version:
                 self.load(manifest)
                 return
         self._versions.compare(manifest.version, manifest.accepted.submission)
 
     def read(self) -> store_module.StoredManifest | None:
-        """Read the manifest, or return None where that failed."""
+        """Read the manifest; return None if that failed."""
         try:
             stored = self._store.read_manifest()
         except errors.PlatformError:
@@ -170,11 +180,13 @@
         return stored
 
     def load(self, manifest: manifests.Manifest) -> bool:
-        """Read a version and put it in force; False where that failed."""
+        """Read a version and put it in force; return False on a failure."""
         snapshot = self._versions.snapshot
-        pace = self._choose_pace if snapshot is None else None
+        max_delay = self._get_max_delay if snapshot is None else None
         try:
-            loaded = self._store.load(manifest, previous=snapshot, pace=pace)
+            loaded = self._store.load(
+                manifest, previous=snapshot, max_delay=max_delay
+            )
         except errors.PlatformError:
             self._metrics.count('configuration', 'check_failed')
             return False
@@ -183,17 +195,20 @@
             return False
         return self._versions.accept(loaded)
 
-    def _choose_pace(self) -> float:
-        return _ALONE_PACE_SECONDS if self._watchers.is_alone() else 0.0
+    def _get_max_delay(self) -> float:
+        return (
+            _ALONE_MAX_READ_DELAY_SECONDS if self._watchers.is_alone() else 0.0
+        )
 
-    def keep_collecting(self) -> None:
-        """Collect unreferenced parts, on the first of the watchers.
+    def run_collections(self) -> None:
+        """Delete unreferenced parts while this is the first watcher.
 
-        Two that both believe to be the first do no harm: see `collection`.
+        Two instances with different rosters may run collections at the same
+        time, which is safe: see `collection`.
         """
         while True:
-            gevent.sleep(random.uniform(0.5, 1.5) * _COLLECT_SECONDS)
-            if self._watchers.names()[:1] != (self._name,):
+            gevent.sleep(random.uniform(0.5, 1.5) * _COLLECTION_SECONDS)
+            if self._watchers.list_names()[:1] != (self._name,):
                 continue
             try:
                 self._collector.collect()
@@ -202,21 +217,22 @@
             except errors.ConfigurationDamaged as damage:
                 self._report_damage(damage)
 
-    def _note_outdated(self, stored: int, in_force: int) -> None:
-        """Refuse, loudly, a service that came back with an older version."""
-        was, self.outdated = self.outdated, stored < in_force
+    def _report_outdated(self, stored: int, in_force: int) -> None:
+        """Report a stored version below the one in force, which is kept."""
+        was_outdated, self.outdated = self.outdated, stored < in_force
         if not self.outdated:
             return
         self._metrics.count('configuration', 'store_outdated')
-        if not was:
+        if not was_outdated:
             _LOG.error(
                 'configuration_store_outdated',
                 extra={
                     'stored': stored,
                     'in_force': in_force,
                     'remedy': 'the key-value service was restored or lost'
-                    ' data. What is in force stays. Submit the document again'
-                    ' on top of it, through a router',
+                    ' data. The version in force stays in force. Submit the'
+                    ' document again through a router, with the version in'
+                    ' force as the base',
                 },
             )
 
