--- a/tests/features/configuration.feature
+++ b/tests/features/configuration.feature
@@ -1,6 +1,6 @@
-Feature: A configuration document is checked whole before it is submitted
+Feature: A configuration document is validated completely before submission
 
-  Scenario Outline: The example document of each deployment is sound
+  Scenario Outline: The example document of each deployment is valid
     When the example document of "<deployment>" is validated
     Then the document has <accounts> client accounts and <servers> backend servers
     And the bearer key "key-<account>" belongs to "<account>"
@@ -10,10 +10,10 @@
       | patrimonio | 16       | 10      | auditora-lima |
       | consorcio  | 16       | 13      | co-lan        |
 
-  Scenario: Every mistake of a document is named in one go
+  Scenario: All mistakes of a document are reported together
     # An operator submits a document with mistakes in single items and across
-    # sections. Were only the first named, each try would show one more, and
-    # what only shows across sections would come last.
+    # sections. If validation stopped at the first mistake, each attempt would
+    # report one more, and those across sections would be reported last.
     Given the patrimonio document with these document mistakes
       | path                          | value            |
       | client_accounts[3].share      | 0                |
@@ -59,17 +59,17 @@
     And each document mistake says what was found and what is allowed
 
   Scenario: One bearer key can't belong to two accounts
-    # Two accounts get the same key by copy and paste. One of them would be
-    # served, charged and refused in the name of the other.
-    Given the consorcio document in which two accounts have one key
+    # Two accounts have the same key because it was copied. Requests of one of
+    # them would be served, charged and refused as those of the other.
+    Given the consorcio document in which two accounts have the same key
     When the mistaken document is validated
     Then the document mistakes are at
       | path                       |
       | client_accounts[1].keys[0] |
 
-  Scenario: A booking is not taken for a request that may be repeated
-    # A kind for any path is put before the bookings, marked idempotent. Each
-    # booking would match it first, and be repeated after a lost answer.
+  Scenario: A request kind shadowed by an earlier, broader kind is refused
+    # An idempotent kind for any path precedes the kinds of bookings. Bookings
+    # would match it first, and would be repeated after a lost answer.
     Given the consorcio document whose first plain kind matches every request
     When the mistaken document is validated
     Then the document mistakes are at
@@ -79,26 +79,26 @@
       | request_kinds[6].path_prefix |
       | request_kinds[7].path_prefix |
 
-  Scenario: Two names with one number in messages are refused
-    # Instances name accounts by a 48-bit number. Two accounts with the same
-    # one would be charged together and share one queue.
-    Given the consorcio document in which two account names have one number
+  Scenario: Two account names with the same number in messages are refused
+    # Messages between instances identify accounts by a 48-bit number. Accounts
+    # with the same number would be charged together and share one queue.
+    Given the consorcio document in which two account names have the same number
     When the mistaken document is validated
     Then the document mistakes are at
       | path                    |
       | client_accounts[1].name |
 
-  Scenario: A large document is checked without holding up other work
-    # A document of 25,000 accounts takes seconds to check. An instance that
-    # relays streams meanwhile must not stop them for that long.
+  Scenario: Validation of a large document yields to other greenlets
+    # The validation of 25,000 accounts takes seconds. Streams that the instance
+    # relays at the same time must not stall for that long.
     Given a document of 25000 client accounts
-    When it is validated beside a greenlet that counts its own turns
-    Then the counting greenlet had at least 50 turns
+    When the document is validated while another greenlet counts its own runs
+    Then the counting greenlet ran at least 50 times
     And the document has 25000 client accounts and 13 backend servers
 
-  Scenario: The version in force never goes back
-    # After a partition a lagging peer offers an old version. Requests of
-    # accounts that were added since would suddenly be refused.
+  Scenario: A lower version never replaces the version in force
+    # After a partition a lagging peer offers an old version. If it came into
+    # force, accounts that were added since would be refused.
     Given a holder with version 5 in force and a greenlet that waits for a change
     When version 4, version 5 and version 7 are applied to the holder
     Then the holder accepted only version 7
--- a/tests/features/steps/configuration.py
+++ b/tests/features/steps/configuration.py
@@ -1,4 +1,4 @@
-"""Steps about configuration documents, their checks and their holder."""
+"""Steps for configuration documents, their validation and the holder."""
 
 import json
 import re
@@ -35,11 +35,11 @@
 
 
 @behave.given('the {deployment} document with these document mistakes')
-def make_mistakes(context, deployment):
+def insert_mistakes(context, deployment):
     context.values = documents.read_example(deployment)
     for row in context.table:
-        place = re.fullmatch(r'(\w+)\[(\d+)](?:\.(\w+))?', row['path'])
-        section, index, field = place.groups()
+        match = re.fullmatch(r'(\w+)\[(\d+)](?:\.(\w+))?', row['path'])
+        section, index, field = match.groups()
         value = json.loads(row['value'])
         if field is None:
             context.values[section][int(index)] = value
@@ -47,8 +47,8 @@
             context.values[section][int(index)][field] = value
 
 
-@behave.given('the consorcio document in which two accounts have one key')
-def share_key(context):
+@behave.given('the consorcio document in which two accounts have the same key')
+def duplicate_key(context):
     context.values = documents.read_example('consorcio')
     first, second = context.values['client_accounts'][:2]
     second['keys'] = first['keys']
@@ -64,16 +64,17 @@
 
 
 @behave.given(
-    'the consorcio document in which two account names have one number'
+    'the consorcio document in which two account names have the same number'
 )
-def make_collision(context):
-    # No real pair of names is known; the number of one name is replaced.
+def make_number_collision(context):
+    # No pair of names with the same number is known, so the number of one
+    # name is replaced.
     context.values = documents.read_example('consorcio')
     first, second = context.values['client_accounts'][:2]
-    real = identity.identify
-    forged = {second['name']: real(first['name'])}
-    identity.identify = lambda name: forged.get(name, real(name))
-    context.add_cleanup(setattr, identity, 'identify', real)
+    identify = identity.identify
+    replaced_numbers = {second['name']: identify(first['name'])}
+    identity.identify = lambda name: replaced_numbers.get(name, identify(name))
+    context.add_cleanup(setattr, identity, 'identify', identify)
 
 
 @behave.when('the mistaken document is validated')
@@ -103,27 +104,29 @@
 
 
 @behave.given('a document of {count:d} client accounts')
-def make_large(context, count):
+def build_large_document(context, count):
     context.values = documents.build_large(count)
 
 
-@behave.when('it is validated beside a greenlet that counts its own turns')
-def validate_beside(context):
-    context.turns = 0
+@behave.when(
+    'the document is validated while another greenlet counts its own runs'
+)
+def validate_beside_greenlet(context):
+    context.runs = 0
 
-    def count_turns():
+    def count_runs():
         while True:
-            context.turns += 1
+            context.runs += 1
             gevent.sleep(0)
 
-    counting = gevent.spawn(count_turns)
+    counting = gevent.spawn(count_runs)
     context.document = validation.validate(context.values)
     counting.kill()
 
 
-@behave.then('the counting greenlet had at least {turns:d} turns')
-def check_turns(context, turns):
-    assert context.turns >= turns, context.turns
+@behave.then('the counting greenlet ran at least {runs:d} times')
+def check_runs(context, runs):
+    assert context.runs >= runs, context.runs
 
 
 @behave.given(
@@ -163,5 +166,5 @@
 
 
 @behave.then('the greenlet that waited saw version {version:d}')
-def check_waiting(context, version):
+def check_waiting_greenlet(context, version):
     assert context.waiting.get(timeout=10) == version
--- a/tests/features/steps/propagation.py
+++ b/tests/features/steps/propagation.py
@@ -1,4 +1,4 @@
-"""Steps about versions on real routers, under load and faults."""
+"""Steps for versions on router processes under load and faults."""
 
 import datetime
 import pathlib
@@ -21,20 +21,22 @@
 from bench import plans
 from tests.support import configured
 
-_TAKEN = re.compile(r'time=(\S+).*configuration_in_force version=(\d+)')
+_IN_FORCE_LINE = re.compile(
+    r'time=(\S+).*configuration_in_force version=(\d+)'
+)
 _LOAD_SECONDS = 25.0
 _PAUSE_SECONDS = 1.5
-_PATIENCE_SECONDS = 30
+_TIMEOUT_SECONDS = 30
 
 
-def _read_taken(router):
-    """Return the versions that a router's log tells, with their times."""
+def _read_applied_versions(router):
+    """Return the versions in a router's log, with their times."""
     text = router.process.read_output()
-    taken = []
-    for stamp, version in _TAKEN.findall(text):
-        moment = datetime.datetime.fromisoformat(stamp.strip('"'))
-        taken.append((int(version), moment.timestamp()))
-    return taken
+    applied = []
+    for timestamp, version in _IN_FORCE_LINE.findall(text):
+        applied_at = datetime.datetime.fromisoformat(timestamp.strip('"'))
+        applied.append((int(version), applied_at.timestamp()))
+    return applied
 
 
 @behave.given(
@@ -42,11 +44,11 @@
     'and callers'
 )
 def start_routers(context, count):
-    folder = tempfile.TemporaryDirectory()
-    context.add_cleanup(folder.cleanup)
+    directory = tempfile.TemporaryDirectory()
+    context.add_cleanup(directory.cleanup)
     context.fleet = fleet.Fleet(
         deployments.build_small_deployment(routers=count),
-        pathlib.Path(folder.name),
+        pathlib.Path(directory.name),
         settings={
             'shutdown': {'notice_seconds': 0.2},
             'logging': {'level': 'info'},
@@ -75,68 +77,70 @@
 
 @behave.when(
     '{count:d} versions are submitted to the service while it loses answers '
-    'and watches are silent'
+    'and watches send no events'
 )
 def submit_versions(context, count):
     writer = _connect(context)
-    running = context.fleet
-    names = list(running.routers)
+    running_fleet = context.fleet
+    names = list(running_fleet.routers)
     context.accepted = {}
     for number in range(count):
         if number == 2:
-            running.key_value.fail(
+            running_fleet.key_value.fail(
                 'lose_some', fraction=0.3, silent_watches=True
             )
         elif number == 3:
-            running.network.partition({names[3]})
+            running_fleet.network.partition({names[3]})
         elif number == 4:
-            running.kill(names[5])
-            running.restart(names[5])
+            running_fleet.kill(names[5])
+            running_fleet.restart(names[5])
         elif number == 5:
-            running.network.heal()
+            running_fleet.network.heal()
         document = configured.change_share(
-            running.deployment.document, 'account-1', number + 2
+            running_fleet.deployment.document, 'account-1', number + 2
         )
         version = number + 2
         snapshot = writer.submit(document, base=version - 1, author='bot')
         context.accepted[snapshot.version] = time.time()
         time.sleep(_PAUSE_SECONDS)
-    context.last = count + 1
+    context.last_version = count + 1
 
 
 @behave.then(
-    'every router took the last version in force, and none ever a lower one'
+    'every router put the last version in force and none ever reverted'
 )
-def check_last(context):
-    until = time.monotonic() + _PATIENCE_SECONDS
+def check_last_version(context):
+    deadline = time.monotonic() + _TIMEOUT_SECONDS
     routers = context.fleet.routers.values()
-    while time.monotonic() < until:
-        taken = [_read_taken(router) for router in routers]
-        if all(each and each[-1][0] == context.last for each in taken):
+    while time.monotonic() < deadline:
+        applied = [_read_applied_versions(router) for router in routers]
+        if all(
+            each and each[-1][0] == context.last_version for each in applied
+        ):
             break
         time.sleep(0.1)
-    for router, each in zip(routers, taken, strict=True):
+    for router, each in zip(routers, applied, strict=True):
         versions = [version for version, _ in each]
-        assert versions and versions[-1] == context.last, (
+        assert versions and versions[-1] == context.last_version, (
             router.name,
             versions,
         )
         assert versions == sorted(set(versions)), (router.name, versions)
 
 
-@behave.then('the times until versions were in force are printed')
-def print_propagation(context):
+@behave.then('the times until versions came into force are printed')
+def check_propagation_times(context):
     times = histogram.HdrHistogram(1, 60000, 3)
     for router in context.fleet.routers.values():
-        for version, moment in _read_taken(router):
+        for version, applied_at in _read_applied_versions(router):
             accepted = context.accepted.get(version)
             if accepted is not None:
-                millis = int((moment - accepted) * 1000)
-                times.record_value(max(1, millis))
+                milliseconds = int((applied_at - accepted) * 1000)
+                times.record_value(max(1, milliseconds))
     count = times.get_total_count()
     assert count >= len(context.fleet.routers), count
     for percentile in (50, 90, 99, 100):
         value = times.get_value_at_percentile(percentile)
-        print(f'{percentile} % of {count} had it after {value} ms')
-    done = len(context.callers.observation.records)
-    print(f'{done} requests ended meanwhile')
+        print(f'{percentile} % of {count} applied it within {value} ms')
+    ended = len(context.callers.observation.records)
+    print(f'{ended} requests ended during the scenario')
--- a/tests/features/steps/spread.py
+++ b/tests/features/steps/spread.py
@@ -1,4 +1,4 @@
-"""Steps about bringing versions into force across a fleet."""
+"""Steps for the propagation of versions across a fleet."""
 
 import collections
 import time
@@ -17,7 +17,7 @@
 
 
 def _submit(context, base, share):
-    """Submit straight to the service, as the command line does."""
+    """Submit directly to the service, as the command line does."""
     direct = store.Store(
         configured.build_settings(), context.service.connect()
     )
@@ -27,8 +27,10 @@
 
 
 def _wait_until(condition, seconds=60):
-    late = AssertionError(f'not so within {seconds} s')
-    with gevent.Timeout(seconds, late):
+    timeout_error = AssertionError(
+        f'the condition was not met within {seconds} s'
+    )
+    with gevent.Timeout(seconds, timeout_error):
         while not condition():
             gevent.sleep(0.02)
 
@@ -44,7 +46,8 @@
     'a service with version 1 of a configuration of {count:d} accounts'
 )
 def make_large_service(context, count):
-    # Many enough for sixteen calls to read them all.
+    # The number of accounts is large enough for a complete read to take
+    # sixteen calls.
     context.service = fake_keyvalue.FakeKeyValue()
     context.values = documents.build_large(count)
     context.account = 'account-1'
@@ -58,39 +61,39 @@
 def make_fleet(context, count):
     _make_service(context)
     context.fleet = fake_fleet.FakeFleet(context.service, count)
-    context.fleet.introduce()
+    context.fleet.fill_rosters()
     context.fleet.start()
     context.add_cleanup(context.fleet.close)
     context.fleet.wait_for(1)
-    context.lowered = []
+    context.reverted = []
     for instance in context.fleet:
-        _guard(context, instance)
+        _record_reverts(context, instance)
 
 
-def _guard(context, instance):
-    """Note each time that an instance goes back, until it restarts."""
-    held = instance.holder
+def _record_reverts(context, instance):
+    """Record each revert of an instance until it restarts."""
+    instance_holder = instance.holder
 
     def watch():
-        highest = held.document.version
+        highest = instance_holder.document.version
         while True:
-            held.wait(held.generation)
-            if held.document.version < highest:
-                context.lowered.append(instance.name)
-            highest = held.document.version
+            instance_holder.wait(instance_holder.generation)
+            if instance_holder.document.version < highest:
+                context.reverted.append(instance.name)
+            highest = instance_holder.document.version
 
     context.add_cleanup(gevent.spawn(watch).kill)
 
 
 @behave.given(
     "a fifth of the fleet's messages is lost, half of it can't reach the "
-    'service and one watch in two says nothing'
+    'service and half of the watches have silently stopped'
 )
-def break_network(context):
-    context.fleet.loss = 1 / 5
+def inject_faults(context):
+    context.fleet.loss_fraction = 1 / 5
     for instance in list(context.fleet)[::2]:
         instance.client.cut = True
-    del context.service.watchers[::2]
+    del context.service.watches[::2]
 
 
 @behave.when('{count:d} versions are accepted one after the other')
@@ -103,13 +106,13 @@
 
 
 @behave.then(
-    'each version was in force on every instance, at the times printed'
+    'each version was in force on every instance, at the printed times'
 )
-def print_times(context):
+def check_times(context):
     assert context.times.get_total_count() == 6 * 8
     for percentile in (50, 90, 99, 100):
         value = context.times.get_value_at_percentile(percentile)
-        print(f'{percentile} % of instances had it after {value} ms')
+        print(f'{percentile} % of instances applied it within {value} ms')
     counts = collections.Counter()
     for item in context.times.get_recorded_iterator():
         step = item.value_iterated_to // 100
@@ -120,7 +123,7 @@
 
 @behave.when('all watches silently stop and version 2 is accepted')
 def stop_watches(context):
-    context.service.silent = True
+    context.service.watches_stopped = True
     _submit(context, 1, 2)
 
 
@@ -129,14 +132,14 @@
     'version 2 is accepted'
 )
 def spread_without_probes(context):
-    context.fleet.probing.kill()
-    cut_watchers(context)
+    context.fleet.probe_greenlet.kill()
+    leave_one_watcher(context)
 
 
 @behave.when(
     'only one watcher can reach the service and version 2 is accepted'
 )
-def cut_watchers(context):
+def leave_one_watcher(context):
     watching = [
         each for each in context.fleet if each.spread.describe().watching
     ]
@@ -146,16 +149,16 @@
 
 
 @behave.then('version {version:d} is in force on every instance')
-def check_everywhere(context, version):
+def check_all_instances(context, version):
     context.fleet.wait_for(version)
     versions = {each.version for each in context.fleet}
     assert versions == {version}, versions
-    assert not context.lowered, context.lowered
+    assert not context.reverted, context.reverted
 
 
 @behave.given(
-    'one instance of the fleet was cut off before versions 2 and 3 came into '
-    'force'
+    'one instance of the fleet was isolated before versions 2 and 3 came '
+    'into force'
 )
 def isolate_instance(context):
     context.lagging, context.restarting, *_ = context.fleet
@@ -167,112 +170,119 @@
 
 
 @behave.when(
-    'the service goes down, the lagging instance is back and another one '
-    'restarts {times:d} times'
+    'the service goes down, the lagging instance is reachable again and '
+    'another one restarts {times:d} times'
 )
 def restart_in_outage(context, times):
     context.service.down = True
-    context.firsts = []
+    context.first_versions = []
     fleet = context.fleet
     lagging, restarting = context.lagging.name, context.restarting.name
-    # It answers, but its own looking for versions is over.
+    # The lagging instance still answers, but no longer searches for versions.
     context.lagging.spread.close()
     context.lagging.isolated = False
     for _ in range(times):
-        # At first the restarted one reaches the lagging one only.
+        # At first the restarted instance reaches only the lagging one.
         fleet.can_reach = lambda sender, target: (
             {sender, target} == {lagging, restarting}
             or not {sender, target} & {lagging, restarting}
         )
-        before = fleet.senders[lagging]
+        before = fleet.sent_counts[lagging]
         fleet.restart(context.restarting)
-        held = context.restarting.holder
-        while fleet.senders[lagging] < before + 2 and not held.ready:
+        instance_holder = context.restarting.holder
+        while (
+            fleet.sent_counts[lagging] < before + 2
+            and not instance_holder.ready
+        ):
             gevent.sleep(0.02)
         fleet.can_reach = lambda sender, target: True
-        held.wait(0, timeout=60)
-        context.firsts.append(held.document.version)
+        instance_holder.wait(0, timeout=60)
+        context.first_versions.append(instance_holder.document.version)
 
 
 @behave.then('the restarted instance always started with version {version:d}')
-def check_firsts(context, version):
+def check_first_versions(context, version):
     assert context.lagging.version == 1
-    assert set(context.firsts) == {version}, context.firsts
+    assert set(context.first_versions) == {version}, context.first_versions
 
 
-@behave.then('no instance of the fleet ever went back to a lower version')
-def check_lowered(context):
-    assert not context.lowered, context.lowered
+@behave.then('no instance of the fleet ever reverted to a lower version')
+def check_no_revert(context):
+    assert not context.reverted, context.reverted
 
 
 @behave.when(
-    "the service is down and one instance restarts out of everyone's reach"
+    'the service is down and one instance restarts isolated from its peers'
 )
-def restart_alone(context):
+def restart_isolated(context):
     context.service.down = True
-    context.alone, *_ = context.fleet
-    context.alone.isolated = True
-    context.fleet.restart(context.alone)
+    context.isolated_instance, *_ = context.fleet
+    context.isolated_instance.isolated = True
+    context.fleet.restart(context.isolated_instance)
 
 
-@behave.then('that instance is not ready for as long as it reaches nobody')
+@behave.then('that instance is not ready while it is isolated')
 def check_not_ready(context):
-    failures = context.alone.metrics
-    _wait_until(lambda: failures.read('configuration', 'check_failed') > 1)
-    status = context.alone.spread.describe()
+    instance_metrics = context.isolated_instance.metrics
+    _wait_until(
+        lambda: instance_metrics.read('configuration', 'check_failed') > 1
+    )
+    status = context.isolated_instance.spread.describe()
     assert not status.ready and status.version == 0
 
 
-@behave.then('once it reaches its peers it is ready with version {version:d}')
+@behave.then(
+    'that instance is ready with version {version:d} once it reaches its peers'
+)
 def check_ready(context, version):
-    context.alone.isolated = False
-    _wait_until(lambda: context.alone.holder.ready)
-    assert context.alone.version == version
+    context.isolated_instance.isolated = False
+    _wait_until(lambda: context.isolated_instance.holder.ready)
+    assert context.isolated_instance.version == version
 
 
 @behave.when(
-    'the fleet is cut in halves, one without the service, and version 2 is '
-    'accepted'
+    'the fleet is partitioned into halves, one without the service, and '
+    'version 2 is accepted'
 )
-def cut_fleet(context):
+def partition_fleet(context):
     names = list(context.fleet.instances)
-    context.late = set(names[::2])
+    context.separated = set(names[::2])
     context.fleet.can_reach = lambda sender, target: (
-        (sender in context.late) == (target in context.late)
+        (sender in context.separated) == (target in context.separated)
     )
-    for name in context.late:
+    for name in context.separated:
         context.fleet.instances[name].client.cut = True
     _submit(context, 1, 2)
 
 
 @behave.then('version 2 is in force in one half and version 1 in the other')
-def check_halves(context):
-    def is_early(instance):
-        return instance.name not in context.late
+def check_both_sides(context):
+    def is_connected(instance):
+        return instance.name not in context.separated
 
-    early = [each for each in context.fleet if is_early(each)]
-    _wait_until(lambda: all(each.version == 2 for each in early))
+    connected = [each for each in context.fleet if is_connected(each)]
+    _wait_until(lambda: all(each.version == 2 for each in connected))
     for instance in context.fleet:
-        assert instance.version == (2 if is_early(instance) else 1)
+        assert instance.version == (2 if is_connected(instance) else 1)
 
 
-@behave.when('the halves of the fleet rejoin')
-def rejoin(context):
+@behave.when('the partition of the fleet ends')
+def end_partition(context):
     context.fleet.can_reach = lambda sender, target: True
 
 
 @behave.when(
     'versions 2 and 3 are accepted and the service is restored to version 1'
 )
-def restore_older(context):
-    saved = context.service.snapshot()
+def restore_backup(context):
+    backup = context.service.snapshot()
     _submit(context, 1, 2)
     _submit(context, 2, 3)
     context.fleet.wait_for(3)
-    context.service.restore(saved)
+    context.service.restore(backup)
 
 
-def _list_watching(context):
+def _list_watcher_statuses(context):
     found = [each.spread.describe() for each in context.fleet]
     return [status for status in found if status.watching]
 
@@ -280,16 +290,18 @@
 @behave.then('every watcher of the fleet reports that the service is outdated')
 def check_outdated(context):
     _wait_until(
-        lambda: all(each.store_outdated for each in _list_watching(context))
+        lambda: all(
+            each.store_outdated for each in _list_watcher_statuses(context)
+        )
     )
     counted = sum(
         each.metrics.read('configuration', 'store_outdated')
         for each in context.fleet
     )
-    assert counted >= len(_list_watching(context)) > 0
+    assert counted >= len(_list_watcher_statuses(context)) > 0
 
 
-@behave.when('a router of the fleet submits on top of version {base:d}')
+@behave.when('a router of the fleet submits with base version {base:d}')
 def submit_through_router(context, base):
     router, *_ = context.fleet
     changed = configured.change_share(context.values, 'sao-mai', 8)
@@ -300,52 +312,58 @@
 def check_no_longer_outdated(context):
     _wait_until(
         lambda: (
-            not any(each.store_outdated for each in _list_watching(context))
+            not any(
+                each.store_outdated for each in _list_watcher_statuses(context)
+            )
         )
     )
 
 
 @behave.when(
     'versions 2 and 3 are accepted, the service is restored to version 1 and '
-    'two others submitted'
+    'two others are submitted'
 )
-def fork_versions(context):
-    restore_older(context)
+def fork_after_restore(context):
+    restore_backup(context)
     _submit(context, 1, 5)
     _submit(context, 2, 6)
 
 
-@behave.then('a watcher of the fleet reports two documents with one number')
+@behave.then(
+    'a watcher of the fleet reports two documents with the same number'
+)
 def check_forked(context):
-    _wait_until(lambda: any(each.forked for each in _list_watching(context)))
+    _wait_until(
+        lambda: any(each.forked for each in _list_watcher_statuses(context))
+    )
 
 
 @behave.when(
-    'one instance in three sends damaged parts and version 2 is accepted'
+    'one part in three from peers is damaged and version 2 is accepted'
 )
-def damage_answers(context):
-    context.damaged = 0
+def damage_part_answers(context):
+    context.part_answers = 0
 
-    def tamper(message):
+    def transform(message):
         if not isinstance(message, messages.PartAnswer):
             return message
-        context.damaged += 1
-        if context.damaged % 3 == 1:
+        context.part_answers += 1
+        if context.part_answers % 3 == 1:
             return messages.PartAnswer(
                 digest=message.digest, data=message.data[::-1]
             )
         return message
 
-    context.fleet.tamper = tamper
+    context.fleet.transform = transform
     for instance in list(context.fleet)[1:]:
         instance.client.cut = True
     _submit(context, 1, 2)
     context.fleet.wait_for(2)
-    assert context.damaged > 0
+    assert context.part_answers > 0
 
 
-class _Rates:
-    """Counts the service's calls in each tenth of a second."""
+class _CallRates:
+    """Samples the number of calls to the service every 0.1 s."""
 
     def __init__(self, service):
         self.service = service
@@ -361,64 +379,71 @@
     def reset(self):
         self.samples.clear()
 
-    def find_most(self):
-        """Return the most calls within any second, and the mean rate."""
-        most = 0
-        for began, before in self.samples:
-            within = [
+    def find_max(self):
+        """Return the maximum calls in any second, and the mean rate."""
+        max_calls = 0
+        for window_start, before in self.samples:
+            increases = [
                 calls - before
-                for at, calls in self.samples
-                if began <= at <= began + 1.0
+                for sampled_at, calls in self.samples
+                if window_start <= sampled_at <= window_start + 1.0
             ]
-            most = max(most, *within)
-        (first, least), (last, total) = self.samples[0], self.samples[-1]
-        return most, (total - least) / max(last - first, 0.1)
+            max_calls = max(max_calls, *increases)
+        (first_time, first_total), (last_time, total) = (
+            self.samples[0],
+            self.samples[-1],
+        )
+        return max_calls, (total - first_total) / max(
+            last_time - first_time, 0.1
+        )
 
 
 @behave.when(
-    '{count:d} instances start at once, idle, see a change, and come back '
-    'after an outage'
+    '{count:d} instances start simultaneously, idle, apply a change and '
+    'restart during an outage'
 )
 def start_many(context, count):
     fleet = fake_fleet.FakeFleet(context.service, count)
     context.add_cleanup(fleet.close)
-    rates = _Rates(context.service)
+    rates = _CallRates(context.service)
     context.add_cleanup(rates.counting.kill)
-    context.most = {}
+    context.max_calls = {}
 
-    def note(name):
+    def record_rate(name):
         gevent.sleep(0.2)
-        most, mean = rates.find_most()
-        context.most[name] = most
-        print(f'{name}: at most {most} calls in a second, {mean:.1f} mean')
+        max_calls, mean = rates.find_max()
+        context.max_calls[name] = max_calls
+        print(f'{name}: at most {max_calls} calls per second, {mean:.1f} mean')
         rates.reset()
 
     fleet.start(probes=False)
     fleet.wait_for(1)
-    note('start, nobody known')
-    fleet.introduce()
+    record_rate('start with empty rosters')
+    fleet.fill_rosters()
     gevent.sleep(3)
     rates.reset()
     gevent.sleep(5)
-    note('idle')
+    record_rate('idle')
     fleet.messages.clear()
     fleet.bytes = 0
     _submit(context, 1, 2)
     times = sorted(fleet.wait_for(2))
     print(f'change: half after {times[count // 2]:.2f} s, all {times[-1]:.2f}')
-    note('change')
+    record_rate('change')
     print(f'change: {dict(fleet.messages)}, {fleet.bytes // count} bytes each')
     context.service.down = True
     fleet.restart_all()
     gevent.sleep(3)
     assert {each.version for each in fleet} == {0}
-    note('outage, all restarted')
+    record_rate('outage, all instances restarted')
     context.service.down = False
     fleet.wait_for(2)
-    note('service back')
+    record_rate('service available again')
 
 
-@behave.then('the service never got more than {limit:d} reads in a second')
-def check_most(context, limit):
-    assert len(context.most) == 5, context.most
-    assert max(context.most.values()) <= limit, context.most
+@behave.then(
+    'the service never received more than {limit:d} reads in a second'
+)
+def check_max_rate(context, limit):
+    assert len(context.max_calls) == 5, context.max_calls
+    assert max(context.max_calls.values()) <= limit, context.max_calls
--- a/tests/features/steps/store.py
+++ b/tests/features/steps/store.py
@@ -1,4 +1,4 @@
-"""Steps about accepting versions in the key-value service."""
+"""Steps for the acceptance of versions in the key-value service."""
 
 import time
 
@@ -30,27 +30,27 @@
 
 
 def _submit_with(context, prepare, account='co-lan', share=9):
-    """Submit as "lan" once `prepare` has set up its client's faults."""
-    client, lans_store = _connect(context)
+    """Submit as "lan" after `prepare` has injected faults in the client."""
+    client, writer_store = _connect(context)
     prepare(client)
     changed = configured.change_share(context.values, account, share)
     context.result = context.error = None
     try:
-        context.result = submission.Submission(lans_store).submit(
+        context.result = submission.Submission(writer_store).submit(
             changed, base=1, author='lan'
         )
     except errors.AmaranthslipError as error:
         context.error = error
 
 
-def _before_manifest(act):
-    """Return a preparation that acts once, before the manifest's swap."""
+def _run_before_swap(action):
+    """Return a `prepare` that runs `action` before the next manifest swap."""
 
     def prepare(client):
         def hook(method, key):
             if method == 'swap' and key.endswith('/manifest'):
                 client.hook = lambda method, key: None
-                act()
+                action()
 
         client.hook = hook
 
@@ -74,14 +74,14 @@
     }
 
 
-def _list_named(context):
+def _list_referenced(context):
     stored = context.store.read_manifest()
-    named = set()
+    referenced = set()
     for each in stored.manifest.list_versions():
         data = context.store.fetch([each.index])[each.index]
         index = store.manifests.decode_index(each.index, data)
-        named |= {each.index, *index.digests}
-    return named
+        referenced |= {each.index, *index.digests}
+    return referenced
 
 
 @behave.given('an empty store')
@@ -103,27 +103,27 @@
     '"sao-mai" accepted'
 )
 @behave.when(
-    'writer "lan" pauses before the manifest while "bot" gets share 7 for '
-    '"sao-mai" accepted'
+    'writer "lan" pauses before the manifest swap while "bot" gets share 7 '
+    'for "sao-mai" accepted'
 )
 def race_writers(context):
-    def act():
+    def action():
         _submit(context, 'bot', 'sao-mai', 7)
 
-    _submit_with(context, _before_manifest(act))
+    _submit_with(context, _run_before_swap(action))
 
 
 @behave.when(
-    'writer "lan" submits share 9 for "co-lan" and its swap\'s answer is '
+    'writer "lan" submits share 9 for "co-lan" and the answer to its swap is '
     'lost {times:d} times'
 )
-def lose_answers(context, times):
+def lose_swap_answers(context, times):
     _submit_with(context, lambda client: setattr(client, 'lose_after', times))
 
 
 @behave.when(
     'writer "lan" submits share 9 for "co-lan" and its swap is lost '
-    '{times:d} times on the way'
+    '{times:d} times before taking effect'
 )
 def lose_swaps(context, times):
     _submit_with(context, lambda client: setattr(client, 'lose_before', times))
@@ -131,9 +131,9 @@
 
 @behave.when(
     'writer "lan" loses its swap and "bot" gets share 7 for "sao-mai" '
-    'accepted before the next try'
+    'accepted before the retry'
 )
-def overtake_writer(context):
+def accept_before_retry(context):
     def prepare(client):
         client.lose_before = 1
         swaps = []
@@ -166,17 +166,19 @@
     context.service.down = False
 
 
-@behave.when('writer "lan" dies between its parts and the manifest')
-def kill_writer(context):
-    def act():
+@behave.when(
+    'writer "lan" is terminated between writing the parts and the manifest'
+)
+def terminate_writer(context):
+    def action():
         raise gevent.GreenletExit
 
-    writer = gevent.spawn(_submit_with, context, _before_manifest(act))
+    writer = gevent.spawn(_submit_with, context, _run_before_swap(action))
     writer.join()
     assert context.result is None
 
 
-@behave.when('a collection with an hour of grace runs twice')
+@behave.when('a collection with a grace period of an hour runs twice')
 def collect_early(context):
     collector = collection.Collector(context.store, metrics.Metrics())
     assert collector.collect() == 0
@@ -184,19 +186,19 @@
 
 
 @behave.when(
-    'writer "lan" pauses before the manifest and all unreferenced parts are '
-    'collected'
+    'writer "lan" pauses before the manifest swap and all unreferenced parts '
+    'are collected'
 )
 def collect_during_pause(context):
-    def act():
+    def action():
         assert _collect(context) > 0
 
-    _submit_with(context, _before_manifest(act))
+    _submit_with(context, _run_before_swap(action))
 
 
-@behave.given('an abandoned part for share 9 of "co-lan"')
-def abandon_part(context):
-    kill_writer(context)
+@behave.given('an unreferenced part for share 9 of "co-lan"')
+def leave_unreferenced_part(context):
+    terminate_writer(context)
 
 
 @behave.when(
@@ -231,16 +233,17 @@
 
 
 @behave.then(
-    'that conflict shows "{theirs}" as theirs and "{mine}" in the difference'
+    'that conflict shows "{accepted}" as accepted and "{submitted}" in the '
+    'difference'
 )
-def check_differences(context, theirs, mine):
+def check_differences(context, accepted, submitted):
     changed = [each.name for each in context.error.theirs.changes]
-    assert changed == [theirs], changed
+    assert changed == [accepted], changed
     names = {each.name for each in context.error.difference.changes}
-    assert names == {theirs, mine}, names
+    assert names == {accepted, submitted}, names
 
 
-@behave.then('the store holds version {version:d} by "{author}", whole')
+@behave.then('the store holds the complete version {version:d} by "{author}"')
 def check_store(context, version, author):
     manifest = context.store.read_manifest().manifest
     assert manifest.version == version, manifest.version
@@ -250,7 +253,9 @@
     assert len(loaded.document.client_accounts) == 16
 
 
-@behave.then('writer "lan" is told that version {version:d} was accepted')
+@behave.then(
+    'the submission of writer "lan" is accepted as version {version:d}'
+)
 def check_accepted(context, version):
     assert context.error is None, context.error
     assert context.result.version == version
@@ -260,20 +265,20 @@
 
 @behave.then('the store\'s history is "{expected}"')
 def check_history(context, expected):
-    known = context.store.read_manifest().manifest.list_versions()
-    shown = ', '.join(f'{each.author}:{each.version}' for each in known)
-    assert shown == expected, shown
+    versions = context.store.read_manifest().manifest.list_versions()
+    history = ', '.join(f'{each.author}:{each.version}' for each in versions)
+    assert history == expected, history
 
 
-@behave.then('writer "lan" is told that the outcome is unknown')
+@behave.then('the submission of writer "lan" has an unknown outcome')
 def check_unknown(context):
     assert isinstance(context.error, errors.ConfigurationUnknown)
     assert context.error.submission in str(context.error)
 
 
 @behave.then(
-    'once the service is back the history shows that submission as version '
-    '{version:d}'
+    'once the service is available again the history shows that submission '
+    'as version {version:d}'
 )
 def check_submission(context, version):
     context.service.down = False
@@ -282,24 +287,24 @@
     assert found.version == version
 
 
-@behave.then('writer "lan" is refused for "{reason}"')
+@behave.then('the submission of writer "lan" is refused for "{reason}"')
 def check_refused(context, reason):
     assert isinstance(context.error, errors.ConfigurationRefused)
     assert context.error.reason == reason
 
 
-@behave.then('the store keeps parts that no version names')
-def check_abandoned(context):
-    assert _list_parts(context) - _list_named(context)
+@behave.then('the store holds parts that no version references')
+def check_unreferenced(context):
+    assert _list_parts(context) - _list_referenced(context)
 
 
 @behave.then(
     'a collection after the grace period leaves only parts that a version '
-    'names'
+    'references'
 )
 def check_collected(context):
     assert _collect(context) > 0
-    assert _list_parts(context) == _list_named(context)
+    assert _list_parts(context) == _list_referenced(context)
 
 
 @behave.given(
@@ -307,15 +312,15 @@
     'restored to version 1'
 )
 def restore_service(context):
-    saved = context.service.snapshot()
+    backup = context.service.snapshot()
     _submit(context, 'lan', 'co-lan', 2, base=1)
     newest = _submit(context, 'lan', 'co-lan', 3, base=2)
     context.holder = holder.Holder()
     context.holder.apply(newest.document)
-    context.service.restore(saved)
+    context.service.restore(backup)
 
 
-@behave.when('a router submits on top of version {base:d}')
+@behave.when('a router submits with base version {base:d}')
 def submit_from_router(context, base):
     router = submission.Submission(context.store, holder=context.holder)
     changed = configured.change_share(context.values, 'sao-mai', 5)
@@ -348,15 +353,15 @@
     except errors.ConfigurationDamaged as damage:
         assert 'another digest' in str(damage), damage
     else:
-        raise AssertionError('damaged content was loaded')
+        raise AssertionError('a version with a damaged part was loaded')
 
 
-def _measure(context, name, act):
+def _measure_calls(context, name, action):
     context.service.calls.clear()
     context.service.bytes = 0
-    began = time.monotonic()
-    result = act()
-    seconds = time.monotonic() - began
+    started = time.monotonic()
+    result = action()
+    seconds = time.monotonic() - started
     calls = dict(context.service.calls)
     print(f'{name}: {calls}, {context.service.bytes} bytes, {seconds:.2f} s')
     return result, calls
@@ -373,14 +378,16 @@
     def submit(base):
         return writer.submit(values, base=base, author='bot')
 
-    first, _ = _measure(context, 'first submission', lambda: submit(0))
+    first, _ = _measure_calls(context, 'first submission', lambda: submit(0))
     values['client_accounts'][count // 2]['share'] = 99
-    second, context.calls = _measure(context, 'change', lambda: submit(1))
+    second, context.calls = _measure_calls(
+        context, 'change', lambda: submit(1)
+    )
     context.new_parts = second.parts.keys() - first.parts.keys()
-    _, context.whole_calls = _measure(
-        context, 'whole read', lambda: context.store.load(second.manifest)
+    _, context.complete_read_calls = _measure_calls(
+        context, 'complete read', lambda: context.store.load(second.manifest)
     )
-    _, context.read_calls = _measure(
+    _, context.read_calls = _measure_calls(
         context,
         'read of the change',
         lambda: context.store.load(second.manifest, previous=first),
@@ -400,21 +407,25 @@
     assert context.calls['swap'] == 3, context.calls
 
 
-@behave.then('an instance that had the version before read {count:d} values')
+@behave.then('an instance with the previous version read {count:d} values')
 def check_read(context, count):
     assert sum(context.read_calls.values()) == count, context.read_calls
-    assert sum(context.whole_calls.values()) <= 17, context.whole_calls
+    assert sum(context.complete_read_calls.values()) <= 17, (
+        context.complete_read_calls
+    )
 
 
-@behave.when('random steps are taken against a store of versions')
+@behave.when('random operations are run against a store of versions')
 def run_machine(context):
     stateful.run_state_machine_as_test(
         store_machine.StoreMachine, settings=store_machine.SETTINGS
     )
 
 
-@behave.then('no version was accepted twice, reverted or half applied')
+@behave.then('no version was accepted twice, reverted or applied partially')
 def check_machine(context):
-    ran = store_machine.StoreMachine.accepted
-    print(f'{ran} versions accepted in all')
-    assert ran > 100, 'the steps accepted too little to show anything'
+    accepted_count = store_machine.StoreMachine.accepted
+    print(f'{accepted_count} versions accepted in total')
+    assert accepted_count > 100, (
+        'too few versions were accepted for a meaningful result'
+    )
--- a/tests/features/steps/store_service.py
+++ b/tests/features/steps/store_service.py
@@ -1,4 +1,4 @@
-"""Steps about the store on the stand-in key-value service."""
+"""Steps for the store on the stand-in key-value service over HTTP."""
 
 import time
 
@@ -29,26 +29,27 @@
 
 
 @behave.when(
-    'a document of {count:d} client accounts and a change go over the wire'
+    'a document of {count:d} client accounts and a change are submitted over '
+    'HTTP'
 )
 def submit_large(context, count):
     context.values = documents.build_large(count)
     context.writer = submission.Submission(context.store)
     for base in (0, 1):
-        began = time.monotonic()
+        started = time.monotonic()
         context.snapshot = context.writer.submit(
             context.values, base=base, author='bot'
         )
-        print(f'version {base + 1}: {time.monotonic() - began:.2f} s')
+        print(f'version {base + 1}: {time.monotonic() - started:.2f} s')
         context.values['client_accounts'][7]['share'] = 50
 
 
-@behave.then('another store reads the change whole over the wire')
+@behave.then('another store reads the complete change over HTTP')
 def read_large(context):
     other = _connect(context)
-    began = time.monotonic()
+    started = time.monotonic()
     loaded = other.load(other.read_manifest().manifest)
-    print(f'whole read: {time.monotonic() - began:.2f} s')
+    print(f'complete read: {time.monotonic() - started:.2f} s')
     assert loaded.version == 2
     accounts = loaded.document.client_accounts
     assert len(accounts) == len(context.values['client_accounts'])
@@ -56,20 +57,20 @@
 
 
 @behave.then(
-    'a watch over the wire tells of version {version:d} once it is accepted'
+    'a watch over HTTP reports version {version:d} once it is accepted'
 )
 def watch_large(context, version):
-    watching = _connect(context)
-    with watching.watch_manifests() as written:
-        first = gevent.spawn(next, written)
+    watch_store = _connect(context)
+    with watch_store.watch_manifests() as manifests_written:
+        first_manifest = gevent.spawn(next, manifests_written)
         context.values['client_accounts'][8]['share'] = 51
         context.writer.submit(context.values, base=version - 1, author='bot')
-        assert first.get(timeout=60).version == version
+        assert first_manifest.get(timeout=60).version == version
 
 
 @behave.when(
     'the service loses half of its answers and {count:d} versions are '
-    'submitted over the wire'
+    'submitted over HTTP'
 )
 def submit_with_losses(context, count):
     context.service.call('/standin/faults', mode='lose_some', fraction=0.5)
@@ -86,12 +87,11 @@
 
 
 @behave.then(
-    'each submission over the wire ended as accepted, and the history shows '
-    'each once'
+    'each submission over HTTP is accepted, and the history lists each once'
 )
 def check_submissions(context):
-    known = context.store.read_manifest().manifest.list_versions()
-    found = [each.submission for each in reversed(known)]
+    versions_listed = context.store.read_manifest().manifest.list_versions()
+    found = [each.submission for each in reversed(versions_listed)]
     assert found == context.submissions, found
-    versions = [each.version for each in reversed(known)]
+    versions = [each.version for each in reversed(versions_listed)]
     assert versions == list(range(1, len(found) + 1)), versions
--- a/tests/support/configured.py
+++ b/tests/support/configured.py
@@ -1,4 +1,4 @@
-"""What the configuration's tests build their parts with."""
+"""Settings and documents for the tests of the configuration."""
 
 import copy
 import typing
@@ -13,7 +13,7 @@
     operators: str = '127.0.0.1:0',
     **sections: dict[str, typing.Any],
 ) -> settings_module.Settings:
-    """Return an instance's settings."""
+    """Return the settings of an instance."""
     values: dict[str, typing.Any] = {
         'instance': {
             'name': name,
@@ -35,7 +35,7 @@
 def change_share(
     values: dict[str, typing.Any], name: str, share: float
 ) -> dict[str, typing.Any]:
-    """Return a copy of a document in which one account's share differs."""
+    """Return a copy of a document with another share for one account."""
     changed = copy.deepcopy(values)
     for account in changed['client_accounts']:
         if account['name'] == name:
@@ -44,5 +44,5 @@
 
 
 def read_consortium() -> dict[str, typing.Any]:
-    """Return the consortium's example document."""
+    """Return the example document of the consortium."""
     return documents.read_example('consorcio')
--- a/tests/support/fake_fleet.py
+++ b/tests/support/fake_fleet.py
@@ -1,4 +1,4 @@
-"""Several instances' configuration in one process, over a lossy network."""
+"""The configuration of several instances over a simulated lossy network."""
 
 import collections
 import random
@@ -25,7 +25,7 @@
 
 
 class FakeInstance:
-    """One instance: its holder, spread, roster and key-value client."""
+    """An instance with its holder, spread, roster and key-value client."""
 
     def __init__(
         self, fleet: 'FakeFleet', name: str, failure_domain: str
@@ -41,10 +41,10 @@
         )
         self.client = fleet.service.connect()
         self.isolated = False
-        self.boot()
+        self.create_components()
 
-    def boot(self) -> None:
-        """Begin without memory."""
+    def create_components(self) -> None:
+        """Create the components anew, without a version in force."""
         settings = configured.build_settings(
             self.name, self.member.failure_domain
         )
@@ -64,15 +64,16 @@
         return self.holder.document.version
 
     def send(self, name: str, message: object) -> bool:
-        """Be the outbox: hand over to the fleet's network."""
-        return self.fleet.carry(self, name, message)
+        """Send a message through the network of the fleet, as an outbox."""
+        return self.fleet.transmit(self, name, message)
 
 
 class FakeFleet:
     """Instances and the network between them.
 
-    `loss` is the fraction of messages that vanish; `can_reach` says which
-    pairs reach one another. Messages go through the real codec.
+    `loss_fraction` is the fraction of messages that are lost. `can_reach`
+    returns whether a sender reaches a target. `transform` changes messages on
+    delivery. Messages are encoded and decoded by the real codec.
     """
 
     def __init__(
@@ -81,14 +82,14 @@
         registry.register_all()
         self.service = service
         self.random = random.Random(seed)
-        self.loss = 0.0
+        self.loss_fraction = 0.0
         self.messages: collections.Counter[str] = collections.Counter()
-        self.senders: collections.Counter[str] = collections.Counter()
+        self.sent_counts: collections.Counter[str] = collections.Counter()
         self.bytes = 0
         self.can_reach: typing.Callable[[str, str], bool] = (
             lambda sender, target: True
         )
-        self.tamper: typing.Callable[[object], object] = lambda message: (
+        self.transform: typing.Callable[[object], object] = lambda message: (
             message
         )
         self.instances = {}
@@ -96,114 +97,120 @@
             domain = FAILURE_DOMAINS[number % len(FAILURE_DOMAINS)]
             name = f'{domain}-{number}'
             self.instances[name] = FakeInstance(self, name, domain)
-        self.probing: gevent.Greenlet | None = None
+        self.probe_greenlet: gevent.Greenlet | None = None
         self.applied: list[tuple[int, str, float]] = []
 
     def __iter__(self) -> typing.Iterator[FakeInstance]:
         return iter(self.instances.values())
 
-    def introduce(self) -> None:
-        """Let every instance know of every other."""
+    def fill_rosters(self) -> None:
+        """Add all other members to the roster of every instance."""
         for instance in self:
-            self.introduce_to(instance)
+            self.fill_roster(instance)
 
-    def introduce_to(self, instance: FakeInstance) -> None:
-        """Let one instance know of every other."""
+    def fill_roster(self, instance: FakeInstance) -> None:
+        """Add all other members to the roster of one instance."""
         for other in self:
             if other is not instance:
                 instance.roster.put(other.member)
 
     def start(self, *, probes: bool = True) -> None:
-        """Start every instance, and the probes between them."""
+        """Start every instance, and optionally the probes between them."""
         for instance in self:
             instance.spread.start()
         if probes:
-            self.probing = gevent.spawn(self._probe)
+            self.probe_greenlet = gevent.spawn(self._probe)
 
     def close(self) -> None:
-        """Stop everything."""
-        if self.probing is not None:
-            self.probing.kill()
+        """Stop the probes and every instance."""
+        if self.probe_greenlet is not None:
+            self.probe_greenlet.kill()
         for instance in self:
             instance.spread.close()
 
     def restart(self, instance: FakeInstance) -> None:
-        """Replace an instance by one without memory."""
+        """Restart an instance without a version in force."""
         instance.spread.close()
-        instance.boot()
-        self.introduce_to(instance)
+        instance.create_components()
+        self.fill_roster(instance)
         instance.spread.start()
 
     def restart_all(self) -> None:
-        """Replace every instance at once, so that nobody remembers."""
+        """Restart all instances, so that none has a version in force."""
         for instance in self:
             instance.spread.close()
         for instance in self:
-            instance.boot()
-        self.introduce()
+            instance.create_components()
+        self.fill_rosters()
         for instance in self:
             instance.spread.start()
 
-    def carry(self, sender: FakeInstance, name: str, message: object) -> bool:
-        """Deliver a message after the network's delay, or lose it."""
+    def transmit(
+        self, sender: FakeInstance, name: str, message: object
+    ) -> bool:
+        """Deliver a message after the delay of the network, or lose it."""
         target = self.instances.get(name)
         if target is None:
             return False
-        if not self._passes(sender, target):
+        if not self._is_transmitted(sender, target):
             return True
         data = codec.encode([message])
         self.messages[type(message).__name__] += 1
-        self.senders[sender.name] += 1
+        self.sent_counts[sender.name] += 1
         self.bytes += len(data)
         gevent.spawn_later(
             _DELAY_SECONDS, self._deliver, sender.name, target, data
         )
         return True
 
-    def _passes(self, sender: FakeInstance, target: FakeInstance) -> bool:
+    def _is_transmitted(
+        self, sender: FakeInstance, target: FakeInstance
+    ) -> bool:
         if sender.isolated or target.isolated:
             return False
         if not self.can_reach(sender.name, target.name):
             return False
-        return self.random.random() >= self.loss
+        return self.random.random() >= self.loss_fraction
 
     def _deliver(self, name: str, target: FakeInstance, data: bytes) -> None:
         for message in codec.decode(data):
-            target.spread.receive(name, self.tamper(message))
+            target.spread.receive(name, self.transform(message))
 
     def _probe(self) -> None:
-        """Pass versions along as the members' probes do."""
+        """Exchange version numbers as the probes between members do."""
         while True:
             gevent.sleep(PROBE_SECONDS)
             for sender in self:
                 others = [each for each in self if each is not sender]
                 target = self.random.choice(others)
-                if self._passes(sender, target):
+                if self._is_transmitted(sender, target):
                     target.spread.heard_version(sender.name, sender.version)
-                if self._passes(target, sender):
+                if self._is_transmitted(target, sender):
                     sender.spread.heard_version(target.name, target.version)
 
     def wait_for(self, version: int, *, seconds: float = 60) -> list[float]:
-        """Wait until a version is in force everywhere.
+        """Wait until a version is in force on every reachable instance.
 
-        Returns the seconds that each instance took.
+        Returns the time that each instance took, in seconds.
         """
-        began = time.monotonic()
+        started = time.monotonic()
         waiting = [
-            gevent.spawn(self._wait_for_one, instance, version, began)
+            gevent.spawn(self._wait_for_instance, instance, version, started)
             for instance in self
             if not instance.isolated
         ]
         gevent.joinall(waiting, timeout=seconds)
-        late = [each for each in waiting if not each.successful()]
+        unfinished = [each for each in waiting if not each.successful()]
         versions = {each.name: each.version for each in self}
-        assert not late, f'not everywhere at version {version}: {versions}'
+        assert not unfinished, (
+            f'version {version} is not in force on all instances: {versions}'
+        )
         return [each.value for each in waiting]
 
-    def _wait_for_one(
-        self, instance: FakeInstance, version: int, began: float
+    def _wait_for_instance(
+        self, instance: FakeInstance, version: int, started: float
     ) -> float:
-        held = instance.holder
-        while held.document.version < version:
-            held.wait(held.generation, timeout=1)
-        return time.monotonic() - began
+        instance_holder = instance.holder
+        while instance_holder.document.version < version:
+            instance_holder.wait(instance_holder.generation, timeout=1)
+        return time.monotonic() - started
--- a/tests/support/fake_keyvalue.py
+++ b/tests/support/fake_keyvalue.py
@@ -1,4 +1,4 @@
-"""A key-value service in memory, with the faults that tests ask for."""
+"""An in-memory key-value service with fault injection."""
 
 import collections
 import contextlib
@@ -11,7 +11,7 @@
 
 
 class FakeEntry:
-    """One key's value and the revision that last changed it."""
+    """The value of a key and the revision that last changed it."""
 
     __slots__ = ('key', 'value', 'revision')
 
@@ -22,10 +22,10 @@
 
 
 class FakeKeyValue:
-    """The service: keys, revisions, watches and what was called.
+    """The service: entries, revisions, watches and call counters.
 
-    `down` refuses every call; `silent` keeps watches open without events;
-    `slow_seconds` delays each call.
+    `down` makes every call fail. `watches_stopped` keeps watches open without
+    sending events. `slow_seconds` delays each call.
     """
 
     def __init__(self) -> None:
@@ -34,39 +34,41 @@
         self.calls: collections.Counter[str] = collections.Counter()
         self.bytes = 0
         self.down = False
-        self.silent = False
+        self.watches_stopped = False
         self.slow_seconds = 0.0
-        self.watchers: list[queue.Queue] = []
+        self.watches: list[queue.Queue] = []
 
     def connect(self) -> 'FakeClient':
-        """Return a client with faults of its own."""
+        """Return a client whose faults are injected separately."""
         return FakeClient(self)
 
     def write(self, key: str, value: bytes) -> int:
-        """Write without a comparison, and tell the watches."""
+        """Write without a comparison, and notify the watches."""
         self.revision += 1
         entry = FakeEntry(key, value, self.revision)
         self.entries[key] = entry
-        for events in [] if self.silent else self.watchers:
+        for events in [] if self.watches_stopped else self.watches:
             events.put(entry)
         return self.revision
 
     def snapshot(self) -> dict[str, FakeEntry]:
-        """Return what `restore` brings back."""
+        """Return a backup of the entries for `restore`."""
         return dict(self.entries)
 
     def restore(self, entries: dict[str, FakeEntry]) -> None:
-        """Come back with what was there before, without telling a soul."""
+        """Restore a backup of the entries without notifying the watches."""
         self.entries = dict(entries)
 
 
 class FakeClient:
-    """One instance's client.
-
-    `cut` makes the service unreachable for it alone. `lose_after` and
-    `lose_before` count the swaps of a manifest whose answer is lost after
-    or without taking effect. `hook` is called before each call with the
-    method and the key, so that a test may put something in between.
+    """The client of one instance.
+
+    `cut` makes the service unreachable for this client only. `lose_before`
+    is the number of manifest swaps to lose before they take effect, and
+    `lose_after` the number to lose the answer of after they take effect.
+    `lose_service` takes the service down after the next manifest swap and
+    loses its answer. `hook` is called with the method and the key before each
+    call, so that a test can interleave another operation.
     """
 
     def __init__(self, service: FakeKeyValue) -> None:
@@ -83,7 +85,7 @@
         self.service.bytes += size
         gevent.sleep(self.service.slow_seconds)
         if self.cut or self.service.down:
-            raise errors.PlatformUnavailable('the service is down')
+            raise errors.PlatformUnavailable('the service is not reachable')
 
     def get(self, key: str) -> FakeEntry | None:
         self._begin('get', key)
@@ -103,20 +105,24 @@
 
     def swap(self, key: str, value: bytes, *, expected: int) -> int | None:
         self._begin('swap', key, len(value))
-        assert len(value) <= 1024 * 1024, 'the value is above a megabyte'
-        decisive = key.endswith('/manifest')
-        if decisive and self.lose_before:
+        assert len(value) <= 1024 * 1024, 'the value is larger than a megabyte'
+        is_manifest = key.endswith('/manifest')
+        if is_manifest and self.lose_before:
             self.lose_before -= 1
-            raise errors.AnswerLost('the request was lost')
+            raise errors.AnswerLost(
+                'the request was lost before taking effect'
+            )
         entry = self.service.entries.get(key)
         revision = entry.revision if entry else 0
         result = None
         if revision == expected:
             result = self.service.write(key, value)
-        if decisive and self.lose_service:
+        if is_manifest and self.lose_service:
             self.service.down = True
-            raise errors.AnswerLost('the answer was lost, and the service')
-        if decisive and self.lose_after:
+            raise errors.AnswerLost(
+                'the answer was lost and the service went down'
+            )
+        if is_manifest and self.lose_after:
             self.lose_after -= 1
             raise errors.AnswerLost('the answer was lost')
         return result
@@ -133,12 +139,12 @@
     def watch(self, prefix: str) -> typing.Iterator[typing.Iterator]:
         self._begin('watch', prefix)
         events: queue.Queue = queue.Queue()
-        self.service.watchers.append(events)
+        self.service.watches.append(events)
         try:
             yield self._read_events(events, prefix)
         finally:
-            if events in self.service.watchers:
-                self.service.watchers.remove(events)
+            if events in self.service.watches:
+                self.service.watches.remove(events)
 
     def _read_events(
         self, events: queue.Queue, prefix: str
@@ -146,6 +152,6 @@
         while True:
             entry = events.get()
             if self.cut or self.service.down:
-                raise errors.AnswerLost('the watch broke')
+                raise errors.AnswerLost('the watch was interrupted')
             if entry.key.startswith(prefix):
                 yield entry
--- a/tests/support/store_machine.py
+++ b/tests/support/store_machine.py
@@ -1,4 +1,4 @@
-"""Random writers, faults and collections against a store of versions."""
+"""Stateful test of a store with random writes, faults and collections."""
 
 import hypothesis
 from hypothesis import stateful
