--- a/src/amaranthslip/configuration/rules.py
+++ b/src/amaranthslip/configuration/rules.py
@@ -101,10 +101,10 @@
 
 
 def _check_services(document_index: DocumentIndex) -> Mistakes:
-    """Check that each service has a staying server and a request kind.
+    """Check that each service has a lasting server and a request kind.
 
-    Without a backend server that stays, the requests that are queued for the
-    service would never be served.
+    If all backend servers of a service are leaving, requests that are queued
+    for the service would never be served.
     """
     services_with_servers = set()
     for _, item in document_index.list_items('backend_servers'):
--- a/src/amaranthslip/configuration/spread.py
+++ b/src/amaranthslip/configuration/spread.py
@@ -258,8 +258,9 @@
         Several peers are queried and the highest version is used, because
         relying on a single lagging peer would put an old version in force.
         Answers of peers without a version count as well. If too few peers
-        answer, the version is read from the key-value service. Until one of
-        them succeeds no version is in force and the instance is not ready.
+        answer, a watcher reads the version from the key-value service, and
+        other instances keep querying. Until a version is obtained none is in
+        force and the instance is not ready.
         """
         next_read = time.monotonic() + self._monitor.choose_start_delay()
         while not self._versions.version:
--- a/src/amaranthslip/configuration/watching.py
+++ b/src/amaranthslip/configuration/watching.py
@@ -218,7 +218,10 @@
                 self._report_damage(damage)
 
     def _report_outdated(self, stored: int, in_force: int) -> None:
-        """Report a stored version below the one in force, which is kept."""
+        """Report a stored version that is lower than the version in force.
+
+        The version in force stays in force.
+        """
         was_outdated, self.outdated = self.outdated, stored < in_force
         if not self.outdated:
             return
--- a/tests/features/configuration.feature
+++ b/tests/features/configuration.feature
@@ -89,8 +89,8 @@
       | client_accounts[1].name |
 
   Scenario: Validation of a large document yields to other greenlets
-    # The validation of 25,000 accounts takes seconds. Streams that the instance
-    # relays at the same time must not stall for that long.
+    # Validating 25,000 accounts takes seconds. Streams that the instance relays
+    # at the same time must not stall for that long.
     Given a document of 25000 client accounts
     When the document is validated while another greenlet counts its own runs
     Then the counting greenlet ran at least 50 times
--- a/tests/features/spread.feature
+++ b/tests/features/spread.feature
@@ -24,8 +24,8 @@
     Then version 2 is in force on every instance
 
   Scenario: Announcements between peers propagate a version without probes
-    # Probes are sent about once a second and would need several rounds to reach
-    # 720 instances. Each instance announces a new version immediately.
+    # Probes are sent about once a second and would need several rounds to
+    # reach 720 instances. Each instance announces a new version immediately.
     Given a fleet of 8 instances with version 1 of the configuration in force
     When the fleet's probes stop, only one watcher can reach the service and version 2 is accepted
     Then version 2 is in force on every instance
@@ -41,8 +41,8 @@
     And no instance of the fleet ever reverted to a lower version
 
   Scenario: An instance that reaches neither the service nor a peer is not ready
-    # An instance restarts during an outage and can't reach any peer. Serving an
-    # empty document, it would refuse the keys of all callers as unknown.
+    # An instance restarts during an outage and can't reach any peer. With an
+    # empty document the instance would refuse the keys of all callers.
     Given a fleet of 8 instances with version 1 of the configuration in force
     When the service is down and one instance restarts isolated from its peers
     Then that instance is not ready while it is isolated
--- a/tests/features/store.feature
+++ b/tests/features/store.feature
@@ -61,8 +61,8 @@
     Then the store holds parts that no version references
 
   Scenario: A paused writer resumes after its parts were collected
-    # A writer pauses before the manifest swap for longer than the grace period,
-    # and its parts are collected. If its swap succeeded afterwards, every
+    # A writer pauses before the manifest swap for longer than the grace
+    # period, and its parts are collected. If its swap then succeeded, every
     # instance would read a version with missing parts.
     Given a store whose version 1 is the consortium's document
     When writer "lan" pauses before the manifest swap and all unreferenced parts are collected
