--- a/src/amaranthslip/console/__init__.py
+++ b/src/amaranthslip/console/__init__.py
@@ -1,1 +1,1 @@
-"""Console: the operators' port, its forms and its API."""
+"""Console: the web pages and the JSON API of the operators' port."""
--- a/src/amaranthslip/console/api.py
+++ b/src/amaranthslip/console/api.py
@@ -1,4 +1,4 @@
-"""The API for automation: JSON over the operators' port."""
+"""JSON API for automation on the operators' port."""
 
 import functools
 import json
@@ -15,14 +15,14 @@
 from amaranthslip.console import drafts
 from amaranthslip import errors
 
-# 25,000 client accounts take 6 MB as JSON.
-MOST_BODY_BYTES = 64 * 1024 * 1024
+# A document with 25,000 client accounts takes 6 MB as JSON.
+MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
-def answer_json(
+def make_json_response(
     content: object, status: int = 200, **headers: str
 ) -> wrappers.Response:
-    """Return an answer with a JSON body."""
+    """Return a response with a JSON body."""
     response = wrappers.Response(
         json.dumps(content, default=str), status, mimetype='application/json'
     )
@@ -32,10 +32,10 @@
 
 
 def read_configuration(holder: holder_module.Holder) -> wrappers.Response:
-    """Answer with the document in force; its version is the ETag."""
-    whole = holder.document
-    response = answer_json(drafts.export_document(whole))
-    response.set_etag(str(whole.version))
+    """Return the document in force, with its version as the ETag."""
+    current = holder.document
+    response = make_json_response(drafts.export_document(current))
+    response.set_etag(str(current.version))
     return response
 
 
@@ -45,24 +45,24 @@
     holder: holder_module.Holder,
     submission: submission_module.Submission,
 ) -> wrappers.Response:
-    """Submit the request's document on top of the version in `If-Match`."""
-    base = _read_base(request)
+    """Submit the document in the body, based on the `If-Match` version."""
+    base = _parse_base_version(request)
     if base is None:
-        return answer_json(
+        return make_json_response(
             {
                 'error': 'base_missing',
                 'message': 'send If-Match with the ETag of the version that '
-                'the document was made from, such as If-Match: "41"',
+                'the document is based on, such as If-Match: "41"',
             },
             428,
         )
     try:
         values = json.loads(request.get_data())
     except (ValueError, RecursionError) as error:
-        return answer_json(
+        return make_json_response(
             {
                 'error': 'no_json',
-                'message': f'the body is no JSON ({error}): send the '
+                'message': f'the body is not valid JSON ({error}): send the '
                 'document as application/json',
             },
             400,
@@ -73,13 +73,15 @@
             values, base=base, author=operator.name, source='request'
         )
     except (errors.AmaranthslipError, errors.SettingsInvalid) as error:
-        return answer_error(error)
-    response = answer_json(parts.export_item(snapshot.manifest.accepted))
+        return make_error_response(error)
+    response = make_json_response(
+        parts.export_item(snapshot.manifest.accepted)
+    )
     response.set_etag(str(snapshot.version))
     return response
 
 
-def _read_base(request: wrappers.Request) -> int | None:
+def _parse_base_version(request: wrappers.Request) -> int | None:
     versions = list(request.if_match.as_set())
     if len(versions) != 1 or not versions[0].isdecimal():
         return None
@@ -89,22 +91,26 @@
 def read_history(
     submission: submission_module.Submission,
 ) -> wrappers.Response:
-    """Answer with the accepted versions, newest first."""
+    """Return the accepted versions, newest first."""
     try:
-        known = submission.load_history()
+        acceptances = submission.load_history()
     except errors.ConfigurationRefused as error:
-        return answer_error(error)
-    return answer_json([_export_acceptance(each) for each in known])
+        return make_error_response(error)
+    return make_json_response(
+        [_export_acceptance(each) for each in acceptances]
+    )
 
 
-def _export_acceptance(each: manifests.Acceptance) -> dict[str, typing.Any]:
-    return parts.export_item(each)
+def _export_acceptance(
+    acceptance: manifests.Acceptance,
+) -> dict[str, typing.Any]:
+    return parts.export_item(acceptance)
 
 
 def export_difference(
     difference: differences.Difference | None,
 ) -> list[dict[str, typing.Any]] | None:
-    """Return a difference as values for JSON, None where it isn't known."""
+    """Return a difference as JSON values, or None if it is not known."""
     if difference is None:
         return None
     return [
@@ -119,12 +125,12 @@
 
 
 @functools.singledispatch
-def answer_error(error: Exception) -> wrappers.Response:
-    """Answer with what became of a submission that was not accepted."""
+def make_error_response(error: Exception) -> wrappers.Response:
+    """Return the response for a submission that was not accepted."""
     raise error
 
 
-@answer_error.register
+@make_error_response.register
 def _(error: errors.SettingsInvalid) -> wrappers.Response:
     mistakes = [
         {
@@ -137,13 +143,13 @@
     ]
     content = {
         'error': 'invalid',
-        'message': 'nothing was applied: mend every mistake and submit again',
+        'message': 'nothing was applied: correct every mistake and resubmit',
         'mistakes': mistakes,
     }
-    return answer_json(content, 422)
+    return make_json_response(content, 422)
 
 
-@answer_error.register
+@make_error_response.register
 def _(error: errors.ConfigurationConflict) -> wrappers.Response:
     content = {
         'error': 'conflict',
@@ -153,20 +159,20 @@
         'difference': export_difference(error.difference),
         'theirs': export_difference(error.theirs),
     }
-    return answer_json(content, 409)
+    return make_json_response(content, 409)
 
 
-@answer_error.register
+@make_error_response.register
 def _(error: errors.ConfigurationRefused) -> wrappers.Response:
     content = {
         'error': 'refused',
         'reason': error.reason,
         'message': str(error),
     }
-    return answer_json(content, 503, Retry_After='5')
+    return make_json_response(content, 503, Retry_After='5')
 
 
-@answer_error.register
+@make_error_response.register
 def _(error: errors.ConfigurationUnknown) -> wrappers.Response:
     content = {
         'error': 'unknown',
@@ -174,4 +180,4 @@
         'submission': error.submission,
         'version': error.version,
     }
-    return answer_json(content, 504)
+    return make_json_response(content, 504)
--- a/src/amaranthslip/console/application.py
+++ b/src/amaranthslip/console/application.py
@@ -1,4 +1,4 @@
-"""Which request goes where on the operators' port, and who may send it."""
+"""Request routing and access control on the operators' port."""
 
 import typing
 import urllib.parse
@@ -25,12 +25,15 @@
     'Referrer-Policy': 'same-origin',
     'X-Content-Type-Options': 'nosniff',
 }
-# An operator without a session may send the sign-in form, so may a stranger.
-_MOST_FORM_BYTES = 256 * 1024
-_BASIC = {'WWW-Authenticate': 'Basic realm="amaranthslip", charset="UTF-8"'}
+# Also limits unauthenticated clients, which may send the sign-in form.
+_MAX_FORM_BYTES = 256 * 1024
+_BASIC_CHALLENGE = {
+    'WWW-Authenticate': 'Basic realm="amaranthslip", charset="UTF-8"'
+}
 
-# Endpoint names say who may come: `public` anybody, `api` with the Basic
-# scheme, `page` with a session. `edit` after it: editors only.
+# The first part of an endpoint name sets the required authentication: none
+# for `public`, HTTP Basic for `api`, a session for `page`. A second part
+# `edit` also requires the editor role.
 URLS = routing.Map(
     [
         routing.Rule('/health', endpoint='public.health', methods=['GET']),
@@ -62,46 +65,46 @@
     ]
 )
 
-Answer = typing.Callable[..., wrappers.Response]
+Handler = typing.Callable[..., wrappers.Response]
 
 
 class Application:
     """The WSGI application of the operators' port.
 
-    Parameters are those of `server.Console`.
+    Takes the parameters of `server.Console`, except `settings`.
     """
 
     __slots__ = (
         '_holder',
         '_submission',
-        '_status',
+        '_get_status',
         'stopping',
         '_metrics',
         '_authenticator',
         '_pages',
-        '_answers',
+        '_handlers',
     )
 
     def __init__(
         self,
         holder: holder_module.Holder,
         submission: submission_module.Submission,
-        status: pages_module.Status,
+        get_status: pages_module.StatusReader,
         metrics: metrics_module.Metrics,
     ) -> None:
         self._holder = holder
         self._submission = submission
-        self._status = status
+        self._get_status = get_status
         self.stopping = False
         self._metrics = metrics
         self._authenticator = authentication.Authenticator(holder)
         self._pages = pages_module.Pages(
-            holder, submission, status, self._authenticator
+            holder, submission, get_status, self._authenticator
         )
-        edits = editing.Editing(holder, submission, self._pages)
-        self._answers: dict[str, Answer] = {
-            'public.health': self._answer_health,
-            'public.ready': self._answer_ready,
+        editing_pages = editing.EditingPages(holder, submission, self._pages)
+        self._handlers: dict[str, Handler] = {
+            'public.health': self._show_health,
+            'public.ready': self._show_readiness,
             'public.sign_in': self._pages.sign_in,
             'api.read': self._read_configuration,
             'api.edit.write': self._write_configuration,
@@ -111,75 +114,78 @@
             'page.overview': self._pages.show_overview,
             'page.history': self._pages.show_history,
             'page.items': self._pages.show_items,
-            'page.edit.item': edits.edit_item,
-            'page.edit.draft': edits.show_draft,
+            'page.edit.item': editing_pages.edit_item,
+            'page.edit.draft': editing_pages.show_draft,
             'page.sign_out': self._pages.sign_out,
         }
 
     def __call__(
         self, environ: dict[str, typing.Any], start_response: typing.Any
     ) -> typing.Iterable[bytes]:
-        """Answer one request."""
+        """Handle one request."""
         request = wrappers.Request(environ)
-        request.max_content_length = _MOST_FORM_BYTES
+        request.max_content_length = _MAX_FORM_BYTES
         if request.path.startswith('/api/'):
-            request.max_content_length = api.MOST_BODY_BYTES
+            request.max_content_length = api.MAX_BODY_BYTES
         try:
-            response = self._answer(request)
+            response = self._dispatch(request)
         except exceptions.HTTPException as error:
-            response = self._answer_error(request, error)
+            response = self._make_error_response(request, error)
         for name, value in _HEADERS.items():
             response.headers.setdefault(name, value)
         return response(environ, start_response)
 
-    def _answer(self, request: wrappers.Request) -> wrappers.Response:
+    def _dispatch(self, request: wrappers.Request) -> wrappers.Response:
         urls = URLS.bind_to_environ(request.environ)
         endpoint, arguments = urls.match()
-        answer = self._answers[endpoint]
-        kind, _, rest = endpoint.partition('.')
-        if kind == 'public':
-            return answer(request)
-        edits = rest.startswith('edit.')
-        if kind == 'api':
-            return self._answer_api(request, answer, edits)
+        handler = self._handlers[endpoint]
+        access, _, action = endpoint.partition('.')
+        if access == 'public':
+            return handler(request)
+        requires_editor = action.startswith('edit.')
+        if access == 'api':
+            return self._dispatch_api(request, handler, requires_editor)
         session = self._authenticator.read_session(request)
         if session is None:
             return utils.redirect('/sign-in', 303)
-        if edits and not authentication.may_edit(session.operator):
-            raise exceptions.Forbidden('Your role lets you look, not change.')
+        if requires_editor and not authentication.may_edit(session.operator):
+            raise exceptions.Forbidden('Your role does not allow changes.')
         if request.method == 'POST':
             _check_origin(request)
             self._pages.check_token(request, session)
-        return answer(request, session, **arguments)
+        return handler(request, session, **arguments)
 
-    def _answer_api(
-        self, request: wrappers.Request, answer: Answer, edits: bool
+    def _dispatch_api(
+        self,
+        request: wrappers.Request,
+        handler: Handler,
+        requires_editor: bool,
     ) -> wrappers.Response:
         operator = self._authenticator.check_basic(request)
         if operator is None:
             content = {
                 'error': 'unauthorised',
-                'message': "send an operator's name and password with the "
-                'Basic scheme',
+                'message': "send an operator's name and password with "
+                'HTTP Basic authentication',
             }
-            response = api.answer_json(content, 401)
-            response.headers.update(_BASIC)
+            response = api.make_json_response(content, 401)
+            response.headers.update(_BASIC_CHALLENGE)
             return response
-        if edits and not authentication.may_edit(operator):
+        if requires_editor and not authentication.may_edit(operator):
             content = {
                 'error': 'forbidden',
                 'message': 'nothing was applied: only editors may submit',
             }
-            return api.answer_json(content, 403)
-        return answer(request, operator)
+            return api.make_json_response(content, 403)
+        return handler(request, operator)
 
-    def _answer_error(
+    def _make_error_response(
         self, request: wrappers.Request, error: exceptions.HTTPException
     ) -> wrappers.Response:
         session = self._authenticator.read_session(request)
         if session is None or request.path.startswith('/api/'):
             content = {'error': error.name, 'message': error.description}
-            return api.answer_json(content, error.code or 500)
+            return api.make_json_response(content, error.code or 500)
         return self._pages.render(
             'error.html',
             session,
@@ -188,26 +194,28 @@
             text=error.description,
         )
 
-    def _answer_health(self, request: wrappers.Request) -> wrappers.Response:
-        return api.answer_json({'alive': True, 'ready': self._holder.ready})
+    def _show_health(self, request: wrappers.Request) -> wrappers.Response:
+        return api.make_json_response(
+            {'alive': True, 'ready': self._holder.ready}
+        )
 
-    def _answer_ready(self, request: wrappers.Request) -> wrappers.Response:
+    def _show_readiness(self, request: wrappers.Request) -> wrappers.Response:
         if self.stopping:
             content = {
                 'ready': False,
                 'reason': 'this instance is stopping: send requests to '
-                'another one',
+                'another instance',
             }
-            return api.answer_json(content, 503)
+            return api.make_json_response(content, 503)
         if self._holder.ready:
-            return api.answer_json({'ready': True})
+            return api.make_json_response({'ready': True})
         content = {
             'ready': False,
-            'reason': 'no configuration is in force here yet: the key-value '
-            'service and the peers are asked for it. In a new fleet, submit '
-            'the first one with `amaranthslip submit`',
+            'reason': 'no configuration is in force on this instance yet: '
+            'it is requested from the key-value service and the peers. In a '
+            'new fleet, submit the first one with `amaranthslip submit`',
         }
-        return api.answer_json(content, 503)
+        return api.make_json_response(content, 503)
 
     def _read_configuration(
         self, request: wrappers.Request, operator: object
@@ -229,7 +237,7 @@
     def _read_status(
         self, request: wrappers.Request, operator: object
     ) -> wrappers.Response:
-        return api.answer_json(self._status())
+        return api.make_json_response(self._get_status())
 
     def _read_metrics(
         self, request: wrappers.Request, operator: object
@@ -241,12 +249,13 @@
 
 
 def _check_origin(request: wrappers.Request) -> None:
-    """Refuse a form that a page of another site sent.
+    """Reject a form that was submitted from a page of another site.
 
-    Browsers say where a form came from; the token is the second guard.
+    Browsers name the submitting site in the Origin header. The CSRF token is
+    checked as well, and alone where the header is missing.
     """
     origin = request.headers.get('Origin')
     if origin is None:
         return
     if urllib.parse.urlsplit(origin).netloc != request.host:
-        raise exceptions.Forbidden('The form came from another site.')
+        raise exceptions.Forbidden('The form was submitted from another site.')
--- a/src/amaranthslip/console/drafts.py
+++ b/src/amaranthslip/console/drafts.py
@@ -1,7 +1,7 @@
 """Drafts: an operator's changes that are not submitted yet.
 
-A draft is kept in a signed cookie, not in the instance: the next page may
-come from another router, and this one may be replaced at any time.
+A draft is stored in a signed cookie, not in the instance: another router may
+serve the next page, and this instance may be replaced at any time.
 """
 
 import copy
@@ -15,19 +15,19 @@
 from amaranthslip.console import authentication
 
 COOKIE = 'amaranthslip_draft'
-# Browsers keep cookies of four kilobytes.
-MOST_BYTES = 3800
-# Stands for a stored password hash, which is never shown to anyone.
+# Browsers store cookies of up to 4 KB.
+MAX_COOKIE_BYTES = 3800
+# Placeholder for a stored password hash, which is never sent to a client.
 UNCHANGED = '(unchanged)'
 
 Values = dict[str, list[dict[str, typing.Any]]]
 
 
 class Edit:
-    """One item that a draft puts in place of another, adds or removes.
+    """One item that a draft changes, adds or removes.
 
-    `name` is the item's name before, empty for a new one; `values` are its
-    fields after, None for a removed one.
+    `name` is the item's name before the edit, empty for an added item;
+    `values` are its fields after the edit, None for a removed item.
     """
 
     __slots__ = ('section', 'name', 'values')
@@ -45,12 +45,12 @@
 
     @property
     def new_name(self) -> str:
-        """The item's name after the edit, empty for a removed one."""
+        """The item's name after the edit, empty for a removed item."""
         return str(self.values['name']) if self.values else ''
 
 
 class Draft:
-    """The edits on top of one version."""
+    """Edits of one version of the document."""
 
     __slots__ = ('base', 'edits')
 
@@ -60,59 +60,61 @@
         self.base = base
         self.edits = list(edits)
 
-    def put(self, edit: Edit) -> None:
-        """Add an edit; one of the same item takes the earlier one's place."""
-        for place, earlier in enumerate(self.edits):
+    def add_edit(self, edit: Edit) -> None:
+        """Add an edit, replacing an earlier edit of the same item."""
+        for index, earlier in enumerate(self.edits):
             if earlier.section != edit.section or not edit.name:
                 continue
             if earlier.new_name != edit.name:
                 continue
-            self.edits[place] = Edit(
+            self.edits[index] = Edit(
                 section=edit.section, name=earlier.name, values=edit.values
             )
             if not earlier.name and edit.values is None:
-                del self.edits[place]
+                del self.edits[index]
             return
         self.edits.append(edit)
 
-    def apply(self, whole: document.Document) -> Values:
-        """Return a document's values with the edits made in them."""
-        values = export_document(whole)
+    def apply(self, configuration: document.Document) -> Values:
+        """Return a document's values with the edits applied."""
+        values = export_document(configuration)
         for edit in self.edits:
             _apply_edit(values.setdefault(edit.section, []), edit)
         return values
 
 
 def _apply_edit(items: list[dict[str, typing.Any]], edit: Edit) -> None:
-    places = [
-        place for place, each in enumerate(items) if each['name'] == edit.name
+    indices = [
+        index for index, each in enumerate(items) if each['name'] == edit.name
     ]
     if edit.values is None:
-        for place in places:
-            del items[place]
-    elif places:
-        items[places[0]] = copy.deepcopy(edit.values)
+        for index in indices:
+            del items[index]
+    elif indices:
+        items[indices[0]] = copy.deepcopy(edit.values)
     else:
         items.append(copy.deepcopy(edit.values))
 
 
-def export_document(whole: document.Document) -> Values:
-    """Return a document as values, without the operators' passwords."""
+def export_document(configuration: document.Document) -> Values:
+    """Return a document's values without the operators' password hashes."""
     values: Values = {}
     for section in document.SECTION_CLASSES:
-        items = getattr(whole, section).values()
+        items = getattr(configuration, section).values()
         values[section] = [parts.export_item(item) for item in items]
     for operator in values['operators']:
         operator['password'] = UNCHANGED
     return values
 
 
-def restore_passwords(values: typing.Any, whole: document.Document) -> None:
-    """Put stored password hashes where `UNCHANGED` stands for them."""
+def restore_passwords(
+    values: typing.Any, configuration: document.Document
+) -> None:
+    """Replace each password `UNCHANGED` by the stored password hash."""
     operators = values.get('operators') if isinstance(values, dict) else None
     for item in operators if isinstance(operators, list) else ():
         if isinstance(item, dict) and item.get('password') == UNCHANGED:
-            stored = whole.operators.get(str(item.get('name')))
+            stored = configuration.operators.get(str(item.get('name')))
             if stored is not None:
                 item['password'] = stored.password
 
@@ -128,7 +130,7 @@
 
 
 def write_draft(draft: Draft, operator: document.Operator) -> str:
-    """Return a draft as its cookie's value."""
+    """Return the cookie value that stores a draft."""
     edits = [parts.export_item(edit) for edit in draft.edits]
     return str(
         _make_serializer(operator).dumps({'base': draft.base, 'edits': edits})
@@ -136,7 +138,7 @@
 
 
 def read_draft(text: str, operator: document.Operator, base: int) -> Draft:
-    """Read a cookie's value; one that can't be read is an empty draft."""
+    """Return the draft in a cookie value, an empty one if it is invalid."""
     try:
         content = _make_serializer(operator).loads(text)
         edits = [Edit(**each) for each in content['edits']]
--- a/src/amaranthslip/console/editing.py
+++ b/src/amaranthslip/console/editing.py
@@ -1,4 +1,4 @@
-"""The console's pages that change: an item's form, and the draft."""
+"""Console pages for changes: item forms, and the draft's preview."""
 
 import re
 import typing
@@ -8,7 +8,7 @@
 from werkzeug import wrappers
 
 from amaranthslip.configuration import differences
-from amaranthslip.configuration import document
+from amaranthslip.configuration import document as document_module
 from amaranthslip.configuration import holder as holder_module
 from amaranthslip.configuration import schemas
 from amaranthslip.configuration import submission as submission_module
@@ -22,17 +22,17 @@
 _ITEM_PATH = re.compile(r'(\w+)\[(\d+)]')
 
 
-class Editing:
-    """Takes changes into a draft, and has drafts accepted.
+class EditingPages:
+    """Adds changes to drafts and submits drafts.
 
     Parameters
     ----------
     holder : Holder
-        The version in force here.
+        Holds the version in force on this instance.
     submission : Submission
-        Has drafts accepted.
+        Submits drafts as new versions.
     pages_ : Pages
-        Renders, and keeps drafts.
+        Renders pages, and reads and stores drafts.
     """
 
     __slots__ = ('_holder', '_submission', '_pages')
@@ -53,39 +53,41 @@
         session: authentication.Session,
         section: str,
     ) -> wrappers.Response:
-        """Show an item's form, or put what it sends into the draft."""
+        """Show an item's form, or add the submitted form to the draft."""
         pages.check_section(section)
         draft = self._pages.read_draft(request, session)
         values = draft.apply(self._holder.document)
         name = request.args.get('name', '')
-        present = next(
+        stored_item = next(
             (each for each in values[section] if each['name'] == name), None
         )
-        if name and present is None:
-            raise exceptions.NotFound(f'There is no {name} in {section}.')
+        if name and stored_item is None:
+            raise exceptions.NotFound(f'Section {section} has no item {name}.')
         form = forms.SECTION_FORMS[section](
             request.form if request.method == 'POST' else None,
-            data=present,
-            meta=forms.make_meta(session),
+            data=stored_item,
+            meta=forms.make_csrf_options(session),
         )
-        form.offer(values)
+        form.set_choices(values)
         if request.method == 'GET':
             return self._render_item(session, section, name, form, False)
         action = request.form.get('action', 'save')
         if action == 'remove':
-            draft.put(drafts.Edit(section=section, name=name, values=None))
-            return self._pages.keep_draft(request, session, draft)
+            draft.add_edit(
+                drafts.Edit(section=section, name=name, values=None)
+            )
+            return self._pages.store_draft(request, session, draft)
         edit = drafts.Edit(
             section=section, name=name, values=form.read_values()
         )
-        sound = form.validate() and _is_item_sound(form, section, edit)
-        if sound:
-            draft.put(edit)
-            sound = action == 'keep' or not self._mark_mistakes(
+        valid = form.validate() and _validate_fields(form, section, edit)
+        if valid:
+            draft.add_edit(edit)
+            valid = action == 'keep' or not self._add_mistakes(
                 form, section, edit, draft
             )
-            if sound:
-                return self._pages.keep_draft(request, session, draft)
+            if valid:
+                return self._pages.store_draft(request, session, draft)
             return self._render_item(session, section, name, form, True)
         return self._render_item(session, section, name, form, False)
 
@@ -95,66 +97,72 @@
         section: str,
         name: str,
         form: forms.ItemForm,
-        may_keep: bool,
+        can_keep: bool,
     ) -> wrappers.Response:
         fields = [each for each in form if each.name != 'csrf_token']
         hints = {
-            each.name: forms.explain_field(section, each.name)
+            each.name: forms.describe_field(section, each.name)
             for each in fields
         }
-        wrong = any(each.errors for each in fields)
+        has_errors = any(each.errors for each in fields)
         return self._pages.render(
             'item.html',
             session,
-            status=422 if wrong else 200,
+            status=422 if has_errors else 200,
             section=section,
             name=name,
             fields=fields,
             hints=hints,
-            may_keep=may_keep,
+            can_keep=can_keep,
         )
 
-    def _mark_mistakes(
+    def _add_mistakes(
         self,
         form: forms.ItemForm,
         section: str,
         edit: drafts.Edit,
         draft: drafts.Draft,
     ) -> bool:
-        """Put the document's mistakes of this item beside its fields."""
+        """Add the document's mistakes in this item to the form's fields.
+
+        Returns whether there are any.
+        """
         values = draft.apply(self._holder.document)
-        place = _move_last(values[section], section, edit.new_name)
-        path = f'{section}[{place}].'
-        marked = False
+        index = _move_last(values[section], section, edit.new_name)
+        path = f'{section}[{index}].'
+        found = False
         for mistake in self._check(values).mistakes:
             if mistake.key.startswith(path):
                 field = mistake.key.removeprefix(path).partition('[')[0]
                 _add_error(form, field, mistake)
-                marked = True
-        return marked
+                found = True
+        return found
 
-    def _check(self, values: drafts.Values) -> 'Checked':
+    def _check(self, values: drafts.Values) -> 'CheckResult':
         drafts.restore_passwords(values, self._holder.document)
         try:
-            whole = validation.validate(values, source='draft')
+            validated = validation.validate(values, source='draft')
         except errors.SettingsInvalid as invalid:
-            return Checked(mistakes=invalid.exceptions)
-        return Checked(whole=whole)
+            return CheckResult(mistakes=invalid.exceptions)
+        return CheckResult(document=validated)
 
     def show_draft(
         self, request: wrappers.Request, session: authentication.Session
     ) -> wrappers.Response:
-        """Preview the draft's difference, and submit or discard it."""
+        """Show the draft's difference, or submit or discard the draft."""
         draft = self._pages.read_draft(request, session)
         if request.method == 'GET':
             return self._render_draft(session, draft)
         if request.form.get('action') == 'discard':
             draft = drafts.Draft(base=self._holder.document.version)
-            return self._pages.keep_draft(request, session, draft, to='/')
-        # What was previewed is what is submitted: on top of that version.
+            return self._pages.store_draft(
+                request, session, draft, location='/'
+            )
+        # Submits only what was previewed: if another version came into force
+        # since the preview, the new difference is shown first.
         previewed = request.form.get('previewed', -1, type=int)
         if previewed != self._holder.document.version:
-            return self._render_draft(session, draft, moved=previewed)
+            return self._render_draft(session, draft, outdated_base=previewed)
         return self._submit_draft(request, session, draft)
 
     def _submit_draft(
@@ -163,13 +171,13 @@
         session: authentication.Session,
         draft: drafts.Draft,
     ) -> wrappers.Response:
-        whole = self._holder.document
-        values = draft.apply(whole)
-        drafts.restore_passwords(values, whole)
+        current = self._holder.document
+        values = draft.apply(current)
+        drafts.restore_passwords(values, current)
         try:
             snapshot = self._submission.submit(
                 values,
-                base=whole.version,
+                base=current.version,
                 author=session.operator.name,
                 source='draft',
             )
@@ -188,34 +196,34 @@
         session: authentication.Session,
         draft: drafts.Draft,
         *,
-        moved: int | None = None,
+        outdated_base: int | None = None,
         conflict: errors.ConfigurationConflict | None = None,
         failure: Exception | None = None,
     ) -> wrappers.Response:
-        whole = self._holder.document
-        checked = self._check(draft.apply(whole))
+        current = self._holder.document
+        result = self._check(draft.apply(current))
         difference = None
-        if checked.whole is not None:
-            difference = differences.compare(whole, checked.whole)
-        behind = draft.edits and draft.base < whole.version
-        if moved is None and behind:
-            moved = draft.base
+        if result.document is not None:
+            difference = differences.compare(current, result.document)
+        is_behind = draft.edits and draft.base < current.version
+        if outdated_base is None and is_behind:
+            outdated_base = draft.base
         status = 409 if conflict else 503 if failure else 200
         return self._pages.render(
             'draft.html',
             session,
             status=status,
             draft=draft,
-            mistakes=_locate(checked.mistakes, draft.apply(whole)),
+            mistakes=_locate_mistakes(result.mistakes, draft.apply(current)),
             difference=difference,
-            moved=moved,
+            outdated_base=outdated_base,
             conflict=conflict,
             failure=failure,
         )
 
 
 class LocatedMistake:
-    """A mistake of the draft, with the item that it belongs to."""
+    """A mistake in a draft, with the section and name of its item."""
 
     __slots__ = ('mistake', 'section', 'name')
 
@@ -227,62 +235,63 @@
         self.name = name
 
 
-class Checked:
-    """A draft's document, or its mistakes."""
+class CheckResult:
+    """The result of validating a draft: a document, or the mistakes."""
 
-    __slots__ = ('whole', 'mistakes')
+    __slots__ = ('document', 'mistakes')
 
     def __init__(
         self,
         *,
-        whole: document.Document | None = None,
+        document: document_module.Document | None = None,
         mistakes: typing.Sequence[typing.Any] = (),
     ) -> None:
-        self.whole = whole
+        self.document = document
         self.mistakes = tuple(mistakes)
 
 
-def _locate(
+def _locate_mistakes(
     mistakes: typing.Iterable[errors.SettingError], values: drafts.Values
 ) -> list[LocatedMistake]:
     located = []
     for mistake in mistakes:
-        place = _ITEM_PATH.match(mistake.key)
+        match = _ITEM_PATH.match(mistake.key)
         section, name = '', ''
-        if place is not None:
-            section = place[1]
-            name = values[section][int(place[2])]['name']
+        if match is not None:
+            section = match[1]
+            name = values[section][int(match[2])]['name']
         located.append(LocatedMistake(mistake, section, name))
     return located
 
 
-def _is_item_sound(
+def _validate_fields(
     form: forms.ItemForm, section: str, edit: drafts.Edit
 ) -> bool:
-    sound = True
+    valid = True
     for name, value in (edit.values or {}).items():
         if name == 'password' and value == drafts.UNCHANGED and edit.name:
             continue
         if not schemas.FIELD_VALIDATORS[section][name].is_valid(value):
-            allowed = forms.explain_field(section, name)
+            allowed = forms.describe_field(section, name)
             mistake = errors.SettingError('form', name, value, allowed)
             _add_error(form, name, mistake)
-            sound = False
-    return sound
+            valid = False
+    return valid
 
 
 def _move_last(
     items: list[dict[str, typing.Any]], section: str, name: str
 ) -> int:
-    """Return an item's place, once it is the last one of its section.
+    """Move an item to the end of its section and return its index.
 
-    Of two items that don't go together the later one is called mistaken:
-    that is to be the one in the form. The order of request kinds counts.
+    Validation reports the later of two conflicting items, so moving the item
+    puts the mistake beside the fields of the form that edits it. Request
+    kinds are not moved, because their order is significant.
     """
-    place = [each['name'] for each in items].index(name)
+    index = [each['name'] for each in items].index(name)
     if section == 'request_kinds':
-        return place
-    items.append(items.pop(place))
+        return index
+    items.append(items.pop(index))
     return len(items) - 1
 
 
--- a/src/amaranthslip/console/forms.py
+++ b/src/amaranthslip/console/forms.py
@@ -1,4 +1,4 @@
-"""The console's forms, one for each section of the document."""
+"""Console forms, one for each section of the document."""
 
 import datetime
 import typing
@@ -10,18 +10,18 @@
 from amaranthslip.configuration import schemas
 from amaranthslip.console import authentication
 
-_TOKEN_SECONDS = 2 * 3600
+_CSRF_TOKEN_SECONDS = 2 * 3600
 
 
 class LinesField(wtforms.TextAreaField):
-    """A list of texts, one a line."""
+    """A list of strings, edited as one string per line."""
 
     def process_data(self, value: typing.Any) -> None:
-        """Show a stored list."""
+        """Load the stored list."""
         self.data = list(value or ())
 
     def process_formdata(self, valuelist: list[str]) -> None:
-        """Take the lines that are not empty."""
+        """Load the non-empty lines of the submitted text."""
         if valuelist:
             lines = valuelist[0].splitlines()
             self.data = [line.strip() for line in lines if line.strip()]
@@ -31,26 +31,28 @@
 
 
 class CheckboxesField(wtforms.SelectMultipleField):
-    """Several of a few choices."""
+    """A multiple-choice field, shown as checkboxes."""
 
     widget = wtforms.widgets.ListWidget(prefix_label=False)
     option_widget = wtforms.widgets.CheckboxInput()
 
     def pre_validate(self, form: wtforms.Form) -> None:
-        """Leave it to the document's own check, which says more."""
+        """Accept any choice; document validation reports invalid ones."""
 
 
 class ProtectedForm(wtforms.Form):
-    """A form that carries a token of the session it belongs to."""
+    """A form with a CSRF token that is bound to a session."""
 
     class Meta:
         csrf = True
         csrf_class = csrf_session.SessionCSRF
-        csrf_time_limit = datetime.timedelta(seconds=_TOKEN_SECONDS)
+        csrf_time_limit = datetime.timedelta(seconds=_CSRF_TOKEN_SECONDS)
 
 
-def make_meta(session: authentication.Session) -> dict[str, typing.Any]:
-    """Return what ties a form's token to an operator's session."""
+def make_csrf_options(
+    session: authentication.Session,
+) -> dict[str, typing.Any]:
+    """Return the form options that bind its CSRF token to a session."""
     return {
         'csrf_secret': authentication.derive_key(session.operator),
         'csrf_context': {'csrf': session.nonce},
@@ -69,20 +71,22 @@
 
 
 class ItemForm(ProtectedForm):
-    """What the forms of all sections have in common."""
+    """The base of the forms of all sections."""
 
     name = wtforms.StringField('Name')
 
-    def offer(self, values: dict[str, list[dict[str, typing.Any]]]) -> None:
-        """Fill choices with the names of other sections' items."""
+    def set_choices(
+        self, values: dict[str, list[dict[str, typing.Any]]]
+    ) -> None:
+        """Fill the choices of fields that name items of other sections."""
         for field in self:
-            section = _CHOICES.get(field.name)
+            section = _CHOICE_SECTIONS.get(field.name)
             if section is not None and hasattr(field, 'choices'):
                 names = [each['name'] for each in values.get(section, ())]
                 field.choices = [(name, name) for name in names]
 
     def read_values(self) -> dict[str, typing.Any]:
-        """Return the item's fields as the document has them."""
+        """Return the item's fields as values for the document."""
         return {
             field.name: field.data
             for field in self
@@ -90,8 +94,8 @@
         }
 
 
-# Field name: the section whose items it names.
-_CHOICES = {
+# Field name: the section whose items the field names.
+_CHOICE_SECTIONS = {
     'service': 'services',
     'services': 'services',
     'failure_domain': 'failure_domains',
@@ -99,13 +103,13 @@
 
 
 class FailureDomainForm(ItemForm):
-    """A place whose instances and backend servers fail together."""
+    """A zone whose instances and backend servers fail together."""
 
     region = wtforms.StringField('Region')
 
 
 class ServiceForm(ItemForm):
-    """A set of backend servers that answer the same requests."""
+    """A set of backend servers that serve the same requests."""
 
     kind = wtforms.SelectField(
         'Kind',
@@ -115,7 +119,7 @@
 
 
 class BackendServerForm(ItemForm):
-    """One engine or plain server."""
+    """An engine of a model service, or a server of a plain service."""
 
     service = wtforms.SelectField('Service', validate_choice=False)
     address = wtforms.StringField('Address')
@@ -123,8 +127,8 @@
         'Failure domain', validate_choice=False
     )
     slots = wtforms.IntegerField('Slots', default=16)
-    leaving = wtforms.BooleanField('Leaving: gets no new work')
-    checks_fencing = wtforms.BooleanField('Refuses orders with an old number')
+    leaving = wtforms.BooleanField('Leaving: gets no new requests')
+    checks_fencing = wtforms.BooleanField('Rejects stale fencing tokens')
 
 
 class RequestKindForm(ItemForm):
@@ -139,13 +143,13 @@
 
 
 class ClientAccountForm(ItemForm):
-    """Who sends requests, and the share they are due."""
+    """A client that sends requests, and its share of each service."""
 
     share = wtforms.FloatField('Share', default=1.0)
     services = CheckboxesField('Services')
-    keys = LinesField('Bearer key hashes, one a line', render_kw={'rows': 3})
+    keys = LinesField('Bearer key hashes, one per line', render_kw={'rows': 3})
     queue_requests = wtforms.IntegerField('Queued requests', default=200)
-    queue_seconds = wtforms.FloatField('Longest wait', default=60.0)
+    queue_seconds = wtforms.FloatField('Maximum queue wait', default=60.0)
 
 
 class OperatorForm(ItemForm):
@@ -173,7 +177,7 @@
 }
 
 
-def explain_field(section: str, field: str) -> str:
-    """Return what a field may hold, for the line below it."""
+def describe_field(section: str, field: str) -> str:
+    """Return the hint below a field: the values that it allows."""
     schema = schemas.FIELDS[section].get(field, {})
     return str(schema.get('description', ''))
--- a/src/amaranthslip/console/monitoring.py
+++ b/src/amaranthslip/console/monitoring.py
@@ -1,9 +1,9 @@
-"""The operators' port where a platform's operator keeps the configuration.
+"""The operators' port where a platform operator manages the configuration.
 
-Forms and submissions have no place there: a version that was submitted to this
-fleet would be one beside the operator's. What is left to see takes no sign-in,
-and without the forms' libraries an instance starts 0.2 s sooner and takes some
-10 MB less.
+The port has no forms and accepts no submissions: a version that was submitted
+to this fleet would compete with the platform operator's. The remaining pages
+need no sign-in, and without the form libraries an instance starts 0.2 s
+sooner and takes some 10 MB less memory.
 """
 
 import json
@@ -13,8 +13,8 @@
 from amaranthslip import metrics as metrics_module
 from amaranthslip import settings as settings_module
 
-_TEXT = 'text/plain; version=0.0.4; charset=utf-8'
-_JSON = 'application/json'
+_METRICS_TYPE = 'text/plain; version=0.0.4; charset=utf-8'
+_JSON_TYPE = 'application/json'
 
 
 class Monitoring(listening.SmallServer):
@@ -23,40 +23,41 @@
     Parameters
     ----------
     settings : Settings
-        `addresses.operators` is where it listens; port 0: any free one.
+        `addresses.operators` is the listening address; port 0 selects any
+        free port.
     is_ready : callable
-        Returns whether new callers should be sent here.
-    describe : callable
-        Returns the status as values for JSON.
+        Returns whether the instance should get new client connections.
+    get_status : callable
+        Returns the status as JSON values.
     metrics : Metrics
-        What `/metrics` shows.
+        The metrics that `/metrics` exports.
     """
 
-    __slots__ = ('_is_ready', '_describe', '_metrics')
+    __slots__ = ('_is_ready', '_get_status', '_metrics')
 
     def __init__(
         self,
         settings: settings_module.Settings,
         is_ready: typing.Callable[[], bool],
-        describe: typing.Callable[[], dict[str, typing.Any]],
+        get_status: typing.Callable[[], dict[str, typing.Any]],
         metrics: metrics_module.Metrics,
     ) -> None:
         self._is_ready = is_ready
-        self._describe = describe
+        self._get_status = get_status
         self._metrics = metrics
-        super().__init__(settings.addresses.operators, self._answer)
+        super().__init__(settings.addresses.operators, self._serve)
 
-    def _answer(
+    def _serve(
         self,
         environ: dict[str, typing.Any],
         start_response: typing.Callable[..., typing.Any],
     ) -> list[bytes]:
-        status, kind, body = '200 OK', _JSON, b''
+        status, content_type, body = '200 OK', _JSON_TYPE, b''
         match environ['PATH_INFO']:
             case '/metrics':
-                kind, body = _TEXT, self._metrics.render()
+                content_type, body = _METRICS_TYPE, self._metrics.render()
             case '/api/status':
-                body = json.dumps(self._describe()).encode()
+                body = json.dumps(self._get_status()).encode()
             case '/health':
                 body = b'{"alive": true}'
             case '/ready':
@@ -67,6 +68,7 @@
                 status, body = '404 Not Found', b'{}'
         length = str(len(body))
         start_response(
-            status, [('Content-Type', kind), ('Content-Length', length)]
+            status,
+            [('Content-Type', content_type), ('Content-Length', length)],
         )
         return [body]
--- a/src/amaranthslip/console/pages.py
+++ b/src/amaranthslip/console/pages.py
@@ -1,4 +1,4 @@
-"""The console's pages that show: overview, lists and the history."""
+"""Console pages that show the overview, item lists and the history."""
 
 import datetime
 import typing
@@ -15,7 +15,7 @@
 from amaranthslip.console import forms
 from amaranthslip import errors
 
-_PAGE_ITEMS = 50
+_ITEMS_PER_PAGE = 50
 _COLUMNS = {
     'client_accounts': ('share', 'services', 'queue_requests'),
     'services': ('kind', 'prompt_weight'),
@@ -25,10 +25,10 @@
     'operators': ('role',),
 }
 
-Status = typing.Callable[[], dict[str, typing.Any]]
+StatusReader = typing.Callable[[], dict[str, typing.Any]]
 
 
-def _show_value(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, bool):
         return 'yes' if value else 'no'
     if isinstance(value, float):
@@ -38,30 +38,30 @@
     return str(value)
 
 
-def _show_time(seconds: float) -> str:
+def _format_time(seconds: float) -> str:
     moment = datetime.datetime.fromtimestamp(seconds, datetime.timezone.utc)
     return moment.strftime('%Y-%m-%d %H:%M:%S UTC')
 
 
 class Pages:
-    """Renders pages, and takes what their forms send.
+    """Renders pages and handles sign-in, sign-out and draft cookies.
 
     Parameters
     ----------
     holder : Holder
-        The version in force here.
+        Holds the version in force on this instance.
     submission : Submission
-        Has drafts accepted.
-    status : callable
-        Returns the fleet's status as values for JSON.
+        Loads the history of accepted versions.
+    get_status : callable
+        Returns the fleet's status as JSON values.
     authenticator : Authenticator
-        Checks who signs in.
+        Checks passwords and opens sessions.
     """
 
     __slots__ = (
         '_holder',
         '_submission',
-        '_status',
+        '_get_status',
         '_authenticator',
         '_templates',
     )
@@ -70,12 +70,12 @@
         self,
         holder: holder_module.Holder,
         submission: submission_module.Submission,
-        status: Status,
+        get_status: StatusReader,
         authenticator: authentication.Authenticator,
     ) -> None:
         self._holder = holder
         self._submission = submission
-        self._status = status
+        self._get_status = get_status
         self._authenticator = authenticator
         self._templates = jinja2.Environment(
             loader=jinja2.PackageLoader('amaranthslip.console'),
@@ -84,8 +84,8 @@
             trim_blocks=True,
             lstrip_blocks=True,
         )
-        self._templates.filters['show'] = _show_value
-        self._templates.filters['moment'] = _show_time
+        self._templates.filters['show'] = _format_value
+        self._templates.filters['moment'] = _format_time
 
     def render(
         self,
@@ -95,7 +95,7 @@
         status: int = 200,
         **values: typing.Any,
     ) -> wrappers.Response:
-        """Answer with a page."""
+        """Return a response with a rendered page."""
         operator = session.operator if session is not None else None
         text = self._templates.get_template(template).render(
             operator=operator,
@@ -110,28 +110,30 @@
     def _make_token(self, session: authentication.Session | None) -> str:
         if session is None:
             return ''
-        form = forms.ProtectedForm(meta=forms.make_meta(session))
+        form = forms.ProtectedForm(meta=forms.make_csrf_options(session))
         return str(form.csrf_token.current_token)
 
     def check_token(
         self, request: wrappers.Request, session: authentication.Session
     ) -> None:
-        """Refuse a form that another site made the browser send.
+        """Reject a form that another site made the browser submit.
 
         Raises
         ------
         Forbidden
-            The form's token is missing, old or of another session.
+            The form's token is missing, expired or of another session.
         """
-        form = forms.ProtectedForm(request.form, meta=forms.make_meta(session))
+        form = forms.ProtectedForm(
+            request.form, meta=forms.make_csrf_options(session)
+        )
         if not form.validate():
             raise exceptions.Forbidden(
-                'The form is too old or came from elsewhere. Go back, load '
-                'the page again and send it once more.'
+                'The form expired or was not loaded in this session. Go back, '
+                'reload the page and submit the form again.'
             )
 
     def sign_in(self, request: wrappers.Request) -> wrappers.Response:
-        """Show the sign-in form, or open a session."""
+        """Show the sign-in form, or check it and open a session."""
         form = forms.SignInForm(request.form)
         if request.method == 'GET':
             return self.render('sign_in.html', form=form, failed=False)
@@ -163,20 +165,22 @@
     def show_overview(
         self, request: wrappers.Request, session: authentication.Session
     ) -> wrappers.Response:
-        """Show where each version is in force, and what is configured."""
-        whole = self._holder.document
+        """Show each instance's version and the number of items per section."""
+        current = self._holder.document
         counts = {
-            section: len(getattr(whole, section)) for section in forms.TITLES
+            section: len(getattr(current, section)) for section in forms.TITLES
         }
         draft = self.read_draft(request, session)
-        fleet = self._status()
-        told = [each.get('version') or 0 for each in fleet.get('members', ())]
+        fleet = self._get_status()
+        reported = [
+            each.get('version') or 0 for each in fleet.get('members', ())
+        ]
         return self.render(
             'overview.html',
             session,
             counts=counts,
             fleet=fleet,
-            newest=max([whole.version, *told]),
+            newest=max([current.version, *reported]),
             edits=len(draft.edits),
         )
 
@@ -186,17 +190,17 @@
         session: authentication.Session,
         section: str,
     ) -> wrappers.Response:
-        """List a section's items, a page at a time."""
+        """Show one page of a section's items."""
         check_section(section)
         draft = self.read_draft(request, session)
         items = draft.apply(self._holder.document)[section]
         query = request.args.get('q', '').strip()
-        found = [each for each in items if query in each['name']]
+        matches = [each for each in items if query in each['name']]
         if section != 'request_kinds':
-            found.sort(key=lambda each: each['name'])
-        pages = max(1, -(-len(found) // _PAGE_ITEMS))
+            matches.sort(key=lambda each: each['name'])
+        pages = max(1, -(-len(matches) // _ITEMS_PER_PAGE))
         page = min(max(request.args.get('page', 1, type=int), 1), pages)
-        first = (page - 1) * _PAGE_ITEMS
+        start = (page - 1) * _ITEMS_PER_PAGE
         changed = {
             edit.new_name for edit in draft.edits if edit.section == section
         }
@@ -205,8 +209,8 @@
             session,
             section=section,
             columns=_COLUMNS[section],
-            items=found[first : first + _PAGE_ITEMS],
-            total=len(found),
+            items=matches[start : start + _ITEMS_PER_PAGE],
+            total=len(matches),
             page=page,
             pages=pages,
             query=query,
@@ -216,16 +220,16 @@
     def show_history(
         self, request: wrappers.Request, session: authentication.Session
     ) -> wrappers.Response:
-        """Show who submitted which version, and when."""
-        known, failure = [], None
+        """Show the author and the time of each accepted version."""
+        acceptances, failure = [], None
         try:
-            known = self._submission.load_history()
+            acceptances = self._submission.load_history()
         except errors.ConfigurationRefused as error:
             failure = error
         return self.render(
             'history.html',
             session,
-            known=known,
+            acceptances=acceptances,
             failure=failure,
             accepted=request.args.get('accepted', 0, type=int),
         )
@@ -233,35 +237,35 @@
     def read_draft(
         self, request: wrappers.Request, session: authentication.Session
     ) -> drafts.Draft:
-        """Return the draft that the request's cookie holds."""
+        """Return the draft in the request's cookie."""
         return drafts.read_draft(
             request.cookies.get(drafts.COOKIE, ''),
             session.operator,
             self._holder.document.version,
         )
 
-    def keep_draft(
+    def store_draft(
         self,
         request: wrappers.Request,
         session: authentication.Session,
         draft: drafts.Draft,
         *,
-        to: str = '/draft',
+        location: str = '/draft',
     ) -> wrappers.Response:
-        """Answer with a draft's cookie and the way to the next page."""
+        """Return a redirection that stores a draft in its cookie."""
         text = drafts.write_draft(draft, session.operator)
-        if len(text) > drafts.MOST_BYTES:
+        if len(text) > drafts.MAX_COOKIE_BYTES:
             raise exceptions.RequestEntityTooLarge(
-                'The draft holds too many changes for the browser to keep. '
-                'Submit or discard it first, or submit a document file.'
+                'The draft has too many changes to fit into a cookie. '
+                'Submit or discard the draft, or submit a document file.'
             )
-        response = utils.redirect(to, 303)
+        response = utils.redirect(location, 303)
         _set_cookie(request, response, drafts.COOKIE, text)
         return response
 
 
 def check_section(section: str) -> None:
-    """Refuse a section that the document hasn't."""
+    """Raise NotFound for a section that the document does not have."""
     if section not in forms.SECTION_FORMS:
         raise exceptions.NotFound(f'There is no section {section}.')
 
--- a/src/amaranthslip/console/server.py
+++ b/src/amaranthslip/console/server.py
@@ -1,4 +1,4 @@
-"""The operators' port: an address of its own, apart from the callers'."""
+"""HTTP server of the operators' port, separate from the clients' port."""
 
 import contextlib
 import logging
@@ -15,15 +15,15 @@
 from amaranthslip import settings as settings_module
 
 _LOG = logging.getLogger(__name__)
-_CONNECTIONS = 200
-IDLE_SECONDS = 30.0
+_MAX_CONNECTIONS = 200
+IDLE_TIMEOUT_SECONDS = 30.0
 
 
 class Handler(pywsgi.WSGIHandler):
-    """One connection, closed when the other side says nothing for long.
+    """A connection that is closed after an idle timeout.
 
-    Otherwise a stranger who opens 200 connections and leaves them silent
-    would shut the operators out, and the health checks with them.
+    Without the timeout, an unauthenticated client that keeps 200 silent
+    connections open would lock out the operators and the health checks.
     """
 
     def __init__(
@@ -32,27 +32,29 @@
         address: tuple[str, int],
         server: pywsgi.WSGIServer,
     ) -> None:
-        sock.settimeout(IDLE_SECONDS)
+        sock.settimeout(IDLE_TIMEOUT_SECONDS)
         super().__init__(sock, address, server)
 
 
 class Console:
-    """Serves forms, the API, health and counters to operators.
+    """Serves the forms, the API, health checks and metrics to operators.
 
     Parameters
     ----------
     settings : Settings
-        `addresses.operators` is where it listens; port 0: any free one.
+        `addresses.operators` is the listening address; port 0 selects any
+        free port.
     holder : Holder
-        The version in force here, and with it the operators.
+        Holds the version in force on this instance, which lists the
+        operators.
     submission : Submission
-        Has new versions accepted.
-    status : callable
-        Returns the fleet's status as values for JSON: `members`, each with
-        `name`, `failure_domain`, `state` and `version`, and what else there
-        is to know.
+        Submits new versions.
+    get_status : callable
+        Returns the fleet's status as JSON values: `members`, each with
+        `name`, `failure_domain`, `state` and `version`, and further fields
+        that are not specified here.
     metrics : Metrics
-        What `/metrics` shows.
+        The metrics that `/metrics` exports.
     """
 
     __slots__ = ('_application', '_server', '_stack')
@@ -62,14 +64,14 @@
         settings: settings_module.Settings,
         holder: holder_module.Holder,
         submission: submission_module.Submission,
-        status: pages.Status,
+        get_status: pages.StatusReader,
         metrics: metrics_module.Metrics,
     ) -> None:
         self._stack = contextlib.ExitStack()
-        connections = pool.Pool(_CONNECTIONS)
+        connections = pool.Pool(_MAX_CONNECTIONS)
         address, _, port = settings.addresses.operators.rpartition(':')
         self._application = application.Application(
-            holder, submission, status, metrics
+            holder, submission, get_status, metrics
         )
         self._server = pywsgi.WSGIServer(
             (address.strip('[]'), int(port)),
@@ -82,19 +84,19 @@
 
     @property
     def address(self) -> str:
-        """Where it listens, as `IP:port`."""
+        """The listening address, as `IP:port`."""
         host, port = self._server.address[:2]
         return f'[{host}]:{port}' if ':' in host else f'{host}:{port}'
 
     def announce_stop(self) -> None:
-        """Answer `/ready` with 503 from now on, so that balancers turn."""
+        """Answer `/ready` with 503, so that load balancers switch over."""
         self._application.stopping = True
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._server.start()
         self._stack.callback(self._server.stop, timeout=1)
 
     def close(self) -> None:
-        """Stop listening; requests in progress have a second."""
+        """Stop listening, and wait up to 1 s for requests in progress."""
         self._stack.close()
--- a/tests/features/steps/console_access.py
+++ b/tests/features/steps/console_access.py
@@ -75,9 +75,9 @@
     'a stranger holds a silent and a half-sent connection to the console'
 )
 def hold_connections(context):
-    before = server.IDLE_SECONDS
-    server.IDLE_SECONDS = 0.3
-    context.add_cleanup(setattr, server, 'IDLE_SECONDS', before)
+    before = server.IDLE_TIMEOUT_SECONDS
+    server.IDLE_TIMEOUT_SECONDS = 0.3
+    context.add_cleanup(setattr, server, 'IDLE_TIMEOUT_SECONDS', before)
     host, _, port = context.first.address.rpartition(':')
     context.held = [
         socket.create_connection((host, int(port))) for _ in range(2)
