--- a/src/amaranthslip/commands/__init__.py
+++ b/src/amaranthslip/commands/__init__.py
@@ -1,5 +1,6 @@
-"""Commands: the command line.
+"""Subcommands of the command line, and the code that they share.
 
-Each module holds one subcommand as a function; `program` joins them. The
-process's entry is `amaranthslip.__main__`, which prepares gevent first.
+Each subcommand is a function in a module of its own; `program` combines them.
+The entry point of the process is `amaranthslip.__main__`, which applies
+gevent's monkey patches first.
 """
--- a/src/amaranthslip/commands/check.py
+++ b/src/amaranthslip/commands/check.py
@@ -1,4 +1,4 @@
-"""The subcommand `check`: finds every mistake of a file, changes nothing."""
+"""The subcommand `check`: reports all mistakes in a file, applies nothing."""
 
 import pathlib
 import typing
@@ -16,32 +16,32 @@
 @cappa.command(
     name='check',
     help='Check a settings file or a configuration document.',
-    description='Prints every mistake at once, with its key, what was found '
-    'and what is allowed. A file with any section of a configuration '
-    'document is taken for one. ' + exits.EXIT_CODES_HELP,
+    description='Prints every mistake at once, with its key, the value found '
+    'and the values allowed. A file with any section of a configuration '
+    'document is checked as a document. ' + exits.EXIT_CODES_HELP,
 )
 def check_file(
     file: typing.Annotated[
         pathlib.Path,
-        cappa.Arg(help='A TOML file, or a document as .json.'),
+        cappa.Arg(help='A TOML file, or a document in a .json file.'),
     ],
     document: typing.Annotated[
         bool,
-        cappa.Arg(long=True, help='It is a configuration document.'),
+        cappa.Arg(long=True, help='Check it as a configuration document.'),
     ] = False,
     settings: typing.Annotated[
-        bool, cappa.Arg(long=True, help='It is a settings file.')
+        bool, cappa.Arg(long=True, help='Check it as a settings file.')
     ] = False,
 ) -> int:
     """Check one file."""
     try:
         if document or (not settings and _is_document(file)):
-            read = files.read_document(file)
+            parsed = files.read_document(file)
             print(
                 f'{file}: the document is valid, with '
-                f'{len(read.client_accounts)} client accounts, '
-                f'{len(read.services)} services and '
-                f'{len(read.backend_servers)} backend servers'
+                f'{len(parsed.client_accounts)} client accounts, '
+                f'{len(parsed.services)} services and '
+                f'{len(parsed.backend_servers)} backend servers'
             )
         else:
             settings_module.read_settings(file)
--- a/src/amaranthslip/commands/operators.py
+++ b/src/amaranthslip/commands/operators.py
@@ -1,4 +1,4 @@
-"""The command line's side of a router's operators' port."""
+"""Client of a router's operators' port."""
 
 import base64
 import json
@@ -15,12 +15,12 @@
 _TIMEOUT_SECONDS = 30.0
 _CONFIGURATION = '/api/configuration'
 _STATUS = '/api/status'
-# Instead of the options; the password is never an argument, since every user
-# of the machine can read a process's arguments.
+# Alternatives to the options. The password is never an argument, because every
+# user of the machine can read a process's arguments.
 _OPERATOR_VARIABLE = 'AMARANTHSLIP_OPERATOR'
 _PASSWORD_VARIABLE = 'AMARANTHSLIP_PASSWORD'  # noqa: S105
 
-Values = dict[str, typing.Any]
+JsonObject = dict[str, typing.Any]
 
 
 class Credentials:
@@ -36,12 +36,12 @@
 def read_credentials(
     name: str, password_file: pathlib.Path | None
 ) -> Credentials:
-    """Return credentials from a file or from the environment.
+    """Return credentials from the options or from the environment.
 
     Raises
     ------
     OperatorRefused
-        There is no name or no password.
+        The name or the password is missing, or the file is unreadable.
     """
     name = name or os.environ.get(_OPERATOR_VARIABLE, '')
     password = os.environ.get(_PASSWORD_VARIABLE, '')
@@ -54,21 +54,21 @@
         ) from None
     if not name or not password:
         raise errors.OperatorRefused(
-            'no operator: give --operator and --password-file, or set '
+            'no operator: use --operator and --password-file, or set '
             f'{_OPERATOR_VARIABLE} and {_PASSWORD_VARIABLE}'
         )
     return Credentials(name, password)
 
 
-class Operators:
-    """Calls one router's operators' port.
+class OperatorsClient:
+    """Client of the operators' port of one router.
 
     Parameters
     ----------
     url : str
-        Such as `http://10.0.0.5:9090`.
+        URL of the port, such as `http://10.0.0.5:9090`.
     credentials : Credentials
-        Who calls.
+        Name and password of the operator.
     """
 
     __slots__ = ('_client', '_headers', '_url')
@@ -77,7 +77,7 @@
         parts = urllib.parse.urlsplit(url)
         if parts.scheme not in ('http', 'https') or not parts.hostname:
             raise errors.RouterUnreachable(
-                f'{url!r} is no URL; give one such as http://10.0.0.5:9090'
+                f'{url!r} is not a URL; use one such as http://10.0.0.5:9090'
             )
         self._url = url
         self._client = geventhttpclient.HTTPClient(
@@ -91,14 +91,14 @@
         token = base64.b64encode(pair.encode()).decode()
         self._headers = {'Authorization': f'Basic {token}'}
 
-    def __enter__(self) -> 'Operators':
+    def __enter__(self) -> 'OperatorsClient':
         return self
 
     def __exit__(self, *exception: object) -> None:
         self._client.close()
 
-    def read_status(self) -> Values:
-        """Return the fleet's status as the router sees it.
+    def read_status(self) -> JsonObject:
+        """Return the fleet's status as this router reports it.
 
         Raises
         ------
@@ -108,22 +108,22 @@
         try:
             status, content = self._call('GET', _STATUS, b'', {})
         except (OSError, client_response.HTTPParseError) as error:
-            raise self._make_unreachable(error) from None
+            raise self._make_unreachable_error(error) from None
         if status != 200:
-            raise _read_error(status, content, source='')
+            raise _parse_error(status, content, source='')
         return content
 
     def submit(self, values: object, *, base: int, source: str) -> int:
-        """Submit a document; return the version that it was accepted as.
+        """Submit a document and return its version number.
 
         Raises
         ------
         SettingsInvalid, ConfigurationConflict, ConfigurationRefused
             Nothing was applied.
         ConfigurationUnknown
-            The answer was lost after the document was sent.
+            The response was lost after the document was sent.
         RouterUnreachable, OperatorRefused
-            Nothing was sent, or nothing was taken.
+            The document was not sent, or it was rejected.
         """
         headers = {
             'Content-Type': 'application/json',
@@ -133,29 +133,31 @@
         try:
             status, content = self._call('PUT', _CONFIGURATION, body, headers)
         except ConnectionRefusedError as error:
-            raise self._make_unreachable(error) from None
+            raise self._make_unreachable_error(error) from None
         except (OSError, client_response.HTTPParseError) as error:
-            # The router may have submitted it before the connection ended.
+            # The router may have accepted the document by then.
             raise errors.ConfigurationUnknown(
-                f'{self._url} gave no answer ({error}): see whether version '
-                f'{base + 1} is by you with `GET /api/history`, or submit '
-                'again, which conflicts if it was accepted',
+                f'{self._url} sent no response ({error}): check the author of '
+                f'version {base + 1} with `GET /api/history`, or submit '
+                'again, which fails with a conflict if it was accepted',
                 submission='not known',
                 version=base + 1,
             ) from None
         if status != 200:
-            raise _read_error(status, content, source=source)
+            raise _parse_error(status, content, source=source)
         return int(content['version'])
 
-    def _make_unreachable(self, error: Exception) -> errors.RouterUnreachable:
+    def _make_unreachable_error(
+        self, error: Exception
+    ) -> errors.RouterUnreachable:
         return errors.RouterUnreachable(
-            f'{self._url} does not answer ({error}): give the operators '
-            'address of a router that runs'
+            f'{self._url} does not answer ({error}): use the operators '
+            'address of a running router'
         )
 
     def _call(
         self, method: str, path: str, body: bytes, headers: dict[str, str]
-    ) -> tuple[int, Values]:
+    ) -> tuple[int, JsonObject]:
         with self._client.request(
             method, path, body, self._headers | headers
         ) as response:
@@ -168,9 +170,11 @@
         return status, content if isinstance(content, dict) else {}
 
 
-def _read_error(status: int, content: Values, *, source: str) -> Exception:
-    """Return the error that an answer of the operators' port stands for."""
-    message = str(content.get('message', f'the router answered {status}'))
+def _parse_error(
+    status: int, content: JsonObject, *, source: str
+) -> Exception:
+    """Return the error that a response of the operators' port reports."""
+    message = str(content.get('message', f'the router returned {status}'))
     match status:
         case 401 | 403:
             return errors.OperatorRefused(message)
@@ -179,8 +183,8 @@
                 message,
                 base=content['base'],
                 current=content['current'],
-                difference=_describe(content['difference']),
-                theirs=_describe(content['theirs']),
+                difference=_format_changes(content['difference']),
+                theirs=_format_changes(content['theirs']),
             )
         case 422:
             return errors.SettingsInvalid(
@@ -202,7 +206,7 @@
     return errors.ConfigurationRefused(reason, message)
 
 
-def _describe(changes: list[Values] | None) -> str:
+def _format_changes(changes: list[JsonObject] | None) -> str:
     lines = []
     for change in changes or ():
         shown = ', '.join(
--- a/src/amaranthslip/commands/output.py
+++ b/src/amaranthslip/commands/output.py
@@ -1,4 +1,4 @@
-"""What subcommands print of errors, and the exit code of each kind."""
+"""Error output of the subcommands, and the exit code of each error."""
 
 import functools
 import sys
@@ -8,7 +8,7 @@
 
 
 def fail(error: Exception) -> exits.ExitCode:
-    """Print an error for a person; return the exit code for it."""
+    """Print an error to standard error and return its exit code."""
     print_error(error)
     return find_exit_code(error)
 
@@ -31,11 +31,11 @@
 def _(error: errors.ConfigurationConflict) -> None:
     print(f'conflict: {error}', file=sys.stderr)
     if error.theirs:
-        print(f'accepted since version {error.base}:', file=sys.stderr)
+        print(f'changes accepted since version {error.base}:', file=sys.stderr)
         print(error.theirs, file=sys.stderr)
     if error.difference:
         print(
-            f'this document against version {error.current}:',
+            f'changes of this document to version {error.current}:',
             file=sys.stderr,
         )
         print(error.difference, file=sys.stderr)
@@ -44,7 +44,7 @@
 @print_error.register
 def _(error: errors.ConfigurationUnknown) -> None:
     print(
-        f'unknown: {error} (submission {error.submission}, as version '
+        f'unknown: {error} (submission {error.submission}, version '
         f'{error.version})',
         file=sys.stderr,
     )
@@ -52,7 +52,7 @@
 
 @functools.singledispatch
 def find_exit_code(error: Exception) -> exits.ExitCode:
-    """Return the exit code that stands for a kind of error."""
+    """Return the exit code for an error."""
     return exits.ExitCode.FAILED
 
 
--- a/src/amaranthslip/commands/program.py
+++ b/src/amaranthslip/commands/program.py
@@ -1,4 +1,4 @@
-"""The whole command line, `amaranthslip SUBCOMMAND ...`."""
+"""The command line `amaranthslip SUBCOMMAND ...`."""
 
 import sys
 import typing
@@ -36,8 +36,8 @@
     Parameters
     ----------
     argv : sequence of str, optional
-        The arguments after the program's name; those of the process by
-        default.
+        The arguments after the program's name; by default those of the
+        process.
 
     Returns
     -------
--- a/src/amaranthslip/commands/sizes.py
+++ b/src/amaranthslip/commands/sizes.py
@@ -1,17 +1,18 @@
-"""Sizes: whether large requests are served as often as the others."""
+"""Compares how often large and small requests of a kind are served."""
 
 import collections
 import statistics
 import typing
 
-# Seconds within which a caller whose request was refused comes back with it.
-_RETURN_SECONDS = 30.0
-# Requests of a kind below which a tenth of them tells little.
-_FEW_REQUESTS = 50
+# Seconds within which a client repeats a request that was refused.
+_RETRY_WINDOW_SECONDS = 30.0
+# Kinds with fewer requests are not listed: their largest tenth would be too
+# small a sample.
+_MIN_REQUESTS = 50
 
 
 class Attempt(typing.Protocol):
-    """How one attempt ended; `summarize.Ending` is one."""
+    """How one attempt ended; implemented by `summarize.AttemptResult`."""
 
     service: str
     account: str
@@ -26,7 +27,7 @@
 
 
 class Request:
-    """One request of a caller: its attempts, in the order of time."""
+    """One request of a client: its attempts, in order of time."""
 
     __slots__ = ('attempts',)
 
@@ -35,7 +36,7 @@
 
     @property
     def tokens(self) -> int:
-        """What it takes of the engines' throughput."""
+        """The tokens that the request takes of the engines' throughput."""
         return self.attempts[0].tokens
 
     @property
@@ -43,16 +44,16 @@
         """Whether an attempt was answered, in time or late."""
         return self.attempts[-1].served
 
-    def is_continued(self, attempt: Attempt) -> bool:
-        """Return whether an attempt of the same prompt is its next one."""
+    def is_retried_by(self, attempt: Attempt) -> bool:
+        """Return whether an attempt with the same prompt is a retry."""
         last = self.attempts[-1]
         if last.served:
             return False
-        return attempt.seconds - last.seconds <= _RETURN_SECONDS
+        return attempt.seconds - last.seconds <= _RETRY_WINDOW_SECONDS
 
 
 class Group:
-    """Requests of one kind and range of sizes."""
+    """Requests of one kind within a range of sizes."""
 
     __slots__ = ('name', 'requests')
 
@@ -61,14 +62,14 @@
         self.requests = requests
 
     @property
-    def served_part(self) -> float:
-        """The part of its requests that was served."""
+    def served_fraction(self) -> float:
+        """The fraction of the requests that were served."""
         served = sum(each.served for each in self.requests)
         return served / max(1, len(self.requests))
 
     @property
-    def retried_part(self) -> float:
-        """The part of the attempts after a first one that was served."""
+    def served_retry_fraction(self) -> float:
+        """The fraction of the attempts after the first that were served."""
         retries = [
             attempt
             for request in self.requests
@@ -76,8 +77,8 @@
         ]
         return sum(each.served for each in retries) / max(1, len(retries))
 
-    def list_refused(self) -> list[Attempt]:
-        """Return the attempts that were weighed and not served."""
+    def list_estimated_refusals(self) -> list[Attempt]:
+        """Return the attempts that were not served and have an estimate."""
         return [
             attempt
             for request in self.requests
@@ -91,15 +92,16 @@
 ) -> typing.Iterator[Request]:
     """Yield requests, with the attempts of each joined by its prompt.
 
-    Sessions send prompts whose last part is the same: only what follows an
-    attempt that was not served, and asks for the same, is its next one.
+    Different requests of a session may have prompts with the same last part.
+    An attempt is a retry only if the one before was not served and has the
+    same account, prompt id and size.
     """
     latest: dict[tuple[str, str, int], Request] = {}
     for attempt in sorted(attempts, key=lambda each: each.seconds):
         key = attempt.account, attempt.prompt_id, attempt.tokens
-        known = latest.get(key)
-        if known is not None and known.is_continued(attempt):
-            known.attempts.append(attempt)
+        request = latest.get(key)
+        if request is not None and request.is_retried_by(attempt):
+            request.attempts.append(attempt)
             continue
         latest[key] = Request(attempt)
         yield latest[key]
@@ -113,41 +115,41 @@
     for request in requests:
         first = request.attempts[0]
         kinds[first.service, first.objective_ms].append(request)
-    for members in kinds.values():
-        members.sort(key=lambda each: each.tokens)
+    for kind_requests in kinds.values():
+        kind_requests.sort(key=lambda each: each.tokens)
     return kinds
 
 
-def divide(requests: list[Request]) -> list[Group]:
-    """Return a kind's groups: all, and by size down from the largest tenth."""
+def split_by_size(requests: list[Request]) -> list[Group]:
+    """Return groups of requests sorted by size: all, then largest first."""
     count = len(requests)
-    tenth, fifth = count - count // 10, count - 3 * count // 10
+    tenth_start, fifth_start = count - count // 10, count - 3 * count // 10
     return [
         Group('all', requests),
-        Group('largest tenth', requests[tenth:]),
-        Group('fifth below', requests[fifth:tenth]),
-        Group('smaller', requests[:fifth]),
+        Group('largest tenth', requests[tenth_start:]),
+        Group('next fifth', requests[fifth_start:tenth_start]),
+        Group('smaller', requests[:fifth_start]),
     ]
 
 
-def tell(attempts: typing.Iterable[Attempt]) -> typing.Iterator[str]:
-    """Yield lines on each kind of request that has a prompt."""
+def format_kinds(attempts: typing.Iterable[Attempt]) -> typing.Iterator[str]:
+    """Yield the summary lines of each kind of request that has a prompt."""
     kinds = group_by_kind(
         collect_requests(each for each in attempts if each.prompt_id)
     )
     for (service, objective_ms), requests in sorted(kinds.items()):
-        if len(requests) < _FEW_REQUESTS:
+        if len(requests) < _MIN_REQUESTS:
             continue
         yield f'  {service} within {objective_ms} ms'
-        groups = divide(requests)
-        whole = groups[0].served_part
+        groups = split_by_size(requests)
+        overall_fraction = groups[0].served_fraction
         for each in groups:
-            yield f'    {_describe(each, whole)}'
+            yield f'    {_format_group(each, overall_fraction)}'
 
 
-def _describe(group: Group, whole: float) -> str:
-    refused = group.list_refused()
-    middle = [
+def _format_group(group: Group, overall_fraction: float) -> str:
+    refused = group.list_estimated_refusals()
+    medians = [
         int(statistics.median([getattr(each, name) for each in refused]))
         if refused
         else 0
@@ -155,9 +157,9 @@
     ]
     return (
         f'{group.name:<14} {len(group.requests):>6} requests'
-        f' {group.served_part:>5.0%} served'
-        f' ({group.served_part / max(whole, 1e-9):.2f} of all),'
-        f' {group.retried_part:.0%} of further attempts;'
-        f' refused at {middle[0]} ms to read, {middle[1]} ms ahead,'
-        f' {middle[2]} ms allowed'
+        f' {group.served_fraction:>5.0%} served'
+        f' ({group.served_fraction / max(overall_fraction, 1e-9):.2f} of all),'
+        f' {group.served_retry_fraction:.0%} of retries;'
+        f' medians of refused: {medians[0]} ms to read, {medians[1]} ms'
+        f' to wait, {medians[2]} ms allowed'
     )
--- a/src/amaranthslip/commands/starting.py
+++ b/src/amaranthslip/commands/starting.py
@@ -1,9 +1,9 @@
-"""Starts a router, without the parts of the command line.
+"""Starts a router without loading the libraries of the command line.
 
-An instance that was killed, or that lost its power, serves nobody
-until it is ready again, and on a small share of a core most of that time is
-spent on loading code. A router needs no libraries for arguments, help texts
-and schemas.
+An instance that was killed or lost power serves no requests until it is ready
+again, and on a small share of a core most of that time is spent on loading
+code. A router does not need the libraries for arguments, help texts and
+schemas.
 """
 
 import importlib
@@ -16,7 +16,7 @@
 
 
 def start_router(path: pathlib.Path) -> exits.ExitCode:
-    """Run one router with a settings file until it is told to stop."""
+    """Run one router with a settings file until SIGTERM or SIGINT."""
     try:
         checked = settings_module.read_settings(path)
     except errors.SettingsInvalid as invalid:
--- a/src/amaranthslip/commands/submit.py
+++ b/src/amaranthslip/commands/submit.py
@@ -1,4 +1,4 @@
-"""The subcommand `submit`: has a configuration document accepted."""
+"""The subcommand `submit`: submits a configuration document."""
 
 import getpass
 import pathlib
@@ -22,24 +22,24 @@
 @cappa.command(
     name='submit',
     help='Submit a configuration document as the next version.',
-    description='The document is checked whole, and accepted only on top of '
-    'the version that it was made from: if another writer was first, '
-    'nothing is applied and the difference is printed. With --settings the '
-    "platform's key-value service is called directly, which also works "
-    "before any router runs; with --url a router's operators' port is. The "
+    description='Checks the whole document, and accepts it only if the '
+    'version that it was made from is still the latest. Otherwise nothing '
+    'is applied and the difference is printed. --settings calls the '
+    "platform's key-value service directly, which also works before any "
+    "router runs; --url calls the operators' port of a router. The "
     "operator's name and password come from the options or from the "
     'environment variables AMARANTHSLIP_OPERATOR and AMARANTHSLIP_PASSWORD. '
     + exits.EXIT_CODES_HELP,
 )
 def submit_document(
     file: typing.Annotated[
-        pathlib.Path, cappa.Arg(help='The document, .toml or .json.')
+        pathlib.Path, cappa.Arg(help='The document, a .toml or .json file.')
     ],
     base: typing.Annotated[
         int,
         cappa.Arg(
             long=True,
-            help='The version that the document was made from; 0: none yet.',
+            help='The version that the document was made from; 0 for none.',
         ),
     ],
     settings: typing.Annotated[
@@ -57,12 +57,12 @@
     ] = '',
     password_file: typing.Annotated[
         pathlib.Path | None,
-        cappa.Arg(long=True, help="Holds the operator's password."),
+        cappa.Arg(long=True, help="File with the operator's password."),
     ] = None,
 ) -> int:
     """Submit one document."""
     if (settings is None) == (not url):
-        print('error: give either --settings or --url', file=sys.stderr)
+        print('error: use either --settings or --url', file=sys.stderr)
         return exits.ExitCode.USAGE
     try:
         values = files.read_values(file)
@@ -72,8 +72,8 @@
             )
         else:
             credentials = operators.read_credentials(operator, password_file)
-            with operators.Operators(url, credentials) as port:
-                version = port.submit(values, base=base, source=str(file))
+            with operators.OperatorsClient(url, credentials) as client:
+                version = client.submit(values, base=base, source=str(file))
     except (errors.AmaranthslipError, errors.SettingsInvalid) as error:
         return output.fail(error)
     print(f'accepted as version {version}')
--- a/src/amaranthslip/commands/summarize.py
+++ b/src/amaranthslip/commands/summarize.py
@@ -1,4 +1,4 @@
-"""The subcommand `summarize`: who was served how, out of many logs."""
+"""The subcommand `summarize`: outcomes of requests, from several logs."""
 
 import collections
 import pathlib
@@ -11,20 +11,20 @@
 from amaranthslip.commands import explain
 from amaranthslip.commands import sizes
 
-# Accounts and seconds that are shown: the worst of them are looked for.
-_SHOWN = 8
-_ENDS = ('request_ended', 'request_failed')
+# Only the worst services, client accounts and seconds are shown.
+_MAX_SHOWN = 8
+_END_EVENTS = ('request_ended', 'request_failed')
 IN_TIME = 'in_time'
 LATE = 'late'
 
 
-class Ending:
-    """How one request ended, as its last line tells.
+class AttemptResult:
+    """How one attempt at a request ended, according to its last line.
 
     Parameters
     ----------
     line : Line
-        Of an event that ends a request.
+        The log line of the event that ends the attempt.
     """
 
     __slots__ = (
@@ -40,16 +40,16 @@
         'seconds',
     )
 
-    def __init__(self, line: explain.Line) -> None:
+    def __init__(self, line: explain.LogLine) -> None:
         fields = line.fields
-        self.outcome = _read_outcome(fields)
+        self.outcome = _parse_outcome(fields)
         self.service = fields.get('service', '')
         self.account = fields.get('client_account', '')
         self.prompt_id = fields.get('prompt_id', '')
         self.tokens = int(fields.get('tokens', 0))
         self.objective_ms = int(fields.get('objective_ms', 0))
-        # What its first event was expected to take, of which parts, and what
-        # it might take; 0 where it was not weighed.
+        # Estimates for the first event: reading the prompt, waiting before
+        # that, and the limit. 0 if the request was not compared with a limit.
         self.reading_ms = int(fields.get('reading_ms', 0))
         self.ahead_ms = int(fields.get('ahead_ms', 0))
         self.allowed_ms = int(fields.get('allowed_ms', 0))
@@ -57,27 +57,27 @@
 
     @property
     def second(self) -> int:
-        """The second of the day in which it ended."""
+        """The second of the day in which the attempt ended."""
         return int(self.seconds)
 
     @property
     def served(self) -> bool:
-        """Whether it was answered, in time or late."""
+        """Whether the attempt was answered, in time or late."""
         return self.outcome in (IN_TIME, LATE)
 
 
-def _read_outcome(fields: dict[str, str]) -> str:
+def _parse_outcome(fields: dict[str, str]) -> str:
     if fields.get('event') == 'request_failed':
         return fields.get('reason', 'unknown')
     if fields.get('status') != '200':
         return f'status_{fields.get("status")}'
-    first = int(fields.get('first_ms', fields.get('took_ms', 0)))
-    objective = int(fields.get('objective_ms', 0))
-    return LATE if objective and first > objective else IN_TIME
+    first_ms = int(fields.get('first_ms', fields.get('took_ms', 0)))
+    objective_ms = int(fields.get('objective_ms', 0))
+    return LATE if objective_ms and first_ms > objective_ms else IN_TIME
 
 
-class Tally:
-    """Requests and tokens of one group, by outcome."""
+class OutcomeCounts:
+    """Numbers of requests and tokens of one group, by outcome."""
 
     __slots__ = ('requests', 'tokens')
 
@@ -85,81 +85,95 @@
         self.requests: collections.Counter[str] = collections.Counter()
         self.tokens: collections.Counter[str] = collections.Counter()
 
-    def add(self, ending: Ending) -> None:
-        """Count one request."""
-        self.requests[ending.outcome] += 1
-        self.tokens[ending.outcome] += ending.tokens
+    def add(self, result: AttemptResult) -> None:
+        """Count one result."""
+        self.requests[result.outcome] += 1
+        self.tokens[result.outcome] += result.tokens
 
     @property
-    def served_part(self) -> float:
-        """The part of what was asked that was served in time.
+    def in_time_fraction(self) -> float:
+        """The fraction of the demand that was served in time.
 
-        By tokens where there are any, else by requests: a refused long
-        prompt is worth more to its caller than a short one.
+        In tokens if there are any, else in requests: a long prompt that was
+        refused is a greater loss to its client than a short one.
         """
         counts = self.tokens if self.tokens.total() else self.requests
         return counts[IN_TIME] / max(1, counts.total())
 
 
-def read_endings(lines: typing.Iterable[str]) -> typing.Iterator[Ending]:
+def read_results(
+    lines: typing.Iterable[str],
+) -> typing.Iterator[AttemptResult]:
     """Yield how requests ended, in the order of the lines."""
     for text in lines:
-        if any(f'event={name}' in text for name in _ENDS):
-            yield Ending(explain.Line(text))
-
-
-def group(
-    endings: typing.Iterable[Ending],
-    key: typing.Callable[[Ending], typing.Any],
-) -> dict[typing.Any, Tally]:
-    """Return the tallies by a key; endings without one are left out."""
-    tallies: dict[typing.Any, Tally] = collections.defaultdict(Tally)
-    for ending in endings:
-        value = key(ending)
+        if any(f'event={name}' in text for name in _END_EVENTS):
+            yield AttemptResult(explain.LogLine(text))
+
+
+def count_outcomes(
+    results: typing.Iterable[AttemptResult],
+    key: typing.Callable[[AttemptResult], typing.Any],
+) -> dict[typing.Any, OutcomeCounts]:
+    """Return the counts by key; an empty key leaves a result out."""
+    counts_by_key: dict[typing.Any, OutcomeCounts] = collections.defaultdict(
+        OutcomeCounts
+    )
+    for result in results:
+        value = key(result)
         if value != '':
-            tallies[value].add(ending)
-    return tallies
-
-
-def tell(endings: typing.Sequence[Ending]) -> typing.Iterator[str]:
-    """Yield the summary's lines."""
-    whole = Tally()
-    for ending in endings:
-        whole.add(ending)
-    yield f'{len(endings)} requests'
-    for outcome, count in whole.requests.most_common():
-        tokens = whole.tokens[outcome]
+            counts_by_key[value].add(result)
+    return counts_by_key
+
+
+def format_summary(
+    results: typing.Sequence[AttemptResult],
+) -> typing.Iterator[str]:
+    """Yield the lines of the summary."""
+    overall = OutcomeCounts()
+    for result in results:
+        overall.add(result)
+    yield f'{len(results)} requests'
+    for outcome, count in overall.requests.most_common():
+        tokens = overall.tokens[outcome]
         yield f'  {outcome:<26} {count:>7} requests {tokens:>10} tokens'
     yield 'services'
-    yield from _tell_worst(group(endings, lambda each: each.service))
+    yield from _format_worst(
+        count_outcomes(results, lambda each: each.service)
+    )
     yield 'client accounts, worst first'
-    yield from _tell_worst(group(endings, lambda each: each.account))
+    yield from _format_worst(
+        count_outcomes(results, lambda each: each.account)
+    )
     yield 'seconds of the day, worst first'
-    yield from _tell_worst(group(endings, lambda each: each.second))
-    yield 'kinds of request by size, attempts of a request joined'
-    yield from sizes.tell(endings)
+    yield from _format_worst(count_outcomes(results, lambda each: each.second))
+    yield 'kinds of request by size, retries of a request joined'
+    yield from sizes.format_kinds(results)
 
 
-def _tell_worst(tallies: dict[typing.Any, Tally]) -> typing.Iterator[str]:
-    ranked = sorted(tallies.items(), key=lambda item: item[1].served_part)
-    for name, tally in ranked[:_SHOWN]:
-        lost = [
+def _format_worst(
+    counts_by_key: dict[typing.Any, OutcomeCounts],
+) -> typing.Iterator[str]:
+    ranked = sorted(
+        counts_by_key.items(), key=lambda item: item[1].in_time_fraction
+    )
+    for name, counts in ranked[:_MAX_SHOWN]:
+        others = [
             f'{outcome} {count}'
-            for outcome, count in tally.requests.most_common()
+            for outcome, count in counts.requests.most_common()
             if outcome != IN_TIME
         ]
         yield (
-            f'  {name!s:<26} {tally.served_part:>5.0%} in time of'
-            f' {tally.requests.total():>6} requests: {", ".join(lost[:4])}'
+            f'  {name!s:<26} {counts.in_time_fraction:>5.0%} in time of'
+            f' {counts.requests.total():>6} requests: {", ".join(others[:4])}'
         )
 
 
 @cappa.command(
     name='summarize',
-    help="Tell who was served how out of the instances' logs.",
-    description='Counts how requests ended, names the client accounts, '
-    'services and seconds of which least was served in time, and tells '
-    'whether large requests were served as often as others of their kind. '
+    help="Summarize how requests ended, from the instances' logs.",
+    description='Counts requests by outcome, lists the client accounts, '
+    'services and seconds with the smallest fraction served in time, and '
+    'compares how often large and small requests of a kind were served. '
     + exits.EXIT_CODES_HELP,
 )
 def summarize_requests(
@@ -172,14 +186,14 @@
     lines = explain.read_lines(logs)
     if lines is None:
         return exits.ExitCode.INVALID
-    endings = list(read_endings(lines))
-    if not endings:
+    results = list(read_results(lines))
+    if not results:
         print(
-            'error: no line tells how a request ended; check that these are'
-            ' logs of instances, at the level info',
+            'error: no line reports the end of a request; check that these'
+            ' are logs of instances, at the level info',
             file=sys.stderr,
         )
         return exits.ExitCode.INVALID
-    for each in tell(endings):
+    for each in format_summary(results):
         print(each)
     return exits.ExitCode.DONE
--- a/tests/features/commands.feature
+++ b/tests/features/commands.feature
@@ -1,111 +1,111 @@
-Feature: The command line says how it ended, by text and exit code
+Feature: Subcommands report their outcome by output and exit code
 
   Background:
     Given a command line with a stand-in key-value service
 
-  Scenario: A document is accepted once, and a stale one conflicts
-    # Two people edit version 0 at the same time. The second to submit would
-    # silently undo the first one's change if its base were not compared.
+  Scenario: A document is accepted once and a submission on a stale base conflicts
+    # Guards against lost updates: two operators edit version 0 at the same time,
+    # and without a comparison of the base the second undoes the first's change.
     When the command line submits the small document on base 0
-    Then the command line ended with 0 and said "accepted as version 1"
+    Then the command exits with 0 and prints "accepted as version 1"
     When the command line submits the small document with a new share on base 0
-    Then the command line ended with 4 and said "share 1"
+    Then the command exits with 4 and prints "share 1"
     When the command line submits the small document with a new share on base 1
-    Then the command line ended with 0 and said "accepted as version 2"
+    Then the command exits with 0 and prints "accepted as version 2"
 
-  Scenario: Every mistake of a document is named and nothing is submitted
+  Scenario: Every mistake in a document is reported and nothing is submitted
     When the command line submits the small document with two mistakes on base 0
-    Then the command line ended with 3 and said "2 mistake(s)"
+    Then the command exits with 3 and prints "2 mistake(s)"
     And the command line's key-value service holds no key
 
-  Scenario: A submission that surely was not applied says so
+  Scenario: A submission to an unreachable service reports that nothing was applied
     Given the command line's key-value service is in the mode "down"
     When the command line submits the small document on base 0
-    Then the command line ended with 6 and said "nothing was applied"
+    Then the command exits with 6 and prints "nothing was applied"
 
-  Scenario: A submission whose every answer is lost ends truthfully
-    # Each write takes effect and its answer is lost. Whoever submitted must
-    # not be told that nothing happened: reading settles what was written.
+  Scenario: A submission is reported as accepted although all responses are lost
+    # Each write takes effect, but its response is lost. The command must not
+    # report that nothing was applied: reading back shows what was written.
     Given the command line's key-value service is in the mode "lose_answers"
     When the command line submits the small document on base 0
-    Then the command line ended with 0 and said "accepted as version 1"
+    Then the command exits with 0 and prints "accepted as version 1"
     And the command line's key-value service holds a manifest
 
-  Scenario: A settings file and a document are told apart by what they hold
+  Scenario: Settings files and documents are distinguished by their content
     When the command line checks the file "examples/consorcio/document.toml"
-    Then the command line ended with 0 and said "16 client accounts"
+    Then the command exits with 0 and prints "16 client accounts"
     When the command line checks its settings file
-    Then the command line ended with 0 and said "the settings are valid"
+    Then the command exits with 0 and prints "the settings are valid"
 
-  Scenario: A router does not start on mistaken settings
-    When the command line starts a router with the settings of a document
-    Then the command line ended with 3 and said "backend_servers"
+  Scenario: A router does not start with invalid settings
+    When the command line starts a router with a document as settings file
+    Then the command exits with 3 and prints "backend_servers"
 
-  Scenario: A hang-up while a router loads does not end it
+  Scenario: SIGHUP while a router loads does not terminate it
     # The platform changes the settings file of an instance that it has just
-    # started, and says so by a signal. The process, which has not got as far
-    # as to expect one, is gone without a word.
-    When a router is hung up on while it loads
-    Then the command line ended with 3 and said "(file)"
+    # started, and sends SIGHUP. The process has not installed its handler yet,
+    # and the signal's default action terminates it silently.
+    When a router receives SIGHUP while it loads
+    Then the command exits with 3 and prints "(file)"
 
-  Scenario: A router that is asked to stop once more still stops in order
-    # It finishes the requests that are under way when the platform asks again.
-    # The second signal ends the process, and cuts all of them off.
-    When a router is asked to stop while it stops
-    Then the command line ended with 0 and said "stopped in order"
+  Scenario: A second SIGTERM does not interrupt a graceful stop
+    # The router is finishing its requests in progress when SIGTERM arrives again.
+    # Guards against termination by the second signal, which cuts all of them off.
+    When a router receives SIGTERM again while it stops
+    Then the command exits with 0 and prints "stopped gracefully"
 
   Scenario: A router that is asked to stop while it exits ends in order
-    # Guards against an exit code of a failure after a stop that lost nothing.
-    When a router is asked to stop after it has stopped
-    Then the command line ended with 0 and said "ended in order"
-
-  Scenario: A wrong command line explains itself
-    When the command line gets "submit --help"
-    Then the command line ended with 0 and said "made from"
-    When the command line gets "launch"
-    Then the command line ended with 2 and said "launch"
-
-  Scenario: One request's story is told out of several logs
-    # A user complains of a slow answer. The request was tried at two servers,
-    # one of which an instance had found to fail a moment before.
+    # Guards against a failure exit code after a stop that lost no request.
+    When a router receives SIGTERM again after it has stopped
+    Then the command exits with 0 and prints "exited normally"
+
+  Scenario: Help and invalid arguments print an explanation
+    When the command line is run with "submit --help"
+    Then the command exits with 0 and prints "made from"
+    When the command line is run with "launch"
+    Then the command exits with 2 and prints "launch"
+
+  Scenario: The log lines of one request are collected from several logs
+    # A user reports a slow response. The request was tried at two servers, and
+    # an instance had ejected one of them shortly before.
     Given the logs of two instances about the request "a-17"
     When the command line explains the request "a-17"
-    Then the command line ended with 0 and said "try_failed"
-    And the story is in the order of time, and names what was learnt before
-    And the story holds no line of another request
+    Then the command exits with 0 and prints "try_failed"
+    And the lines are in order of time and include the state changes before the request
+    And the output has no line of another request
 
-  Scenario: All attempts at one request are found by its fingerprint
-    # Guards against omitting repeated attempts, which have different ids.
+  Scenario: All attempts at a request are found by its fingerprint
+    # Guards against omitted retries, which have different request ids.
     Given the logs of two instances about attempts with fingerprint "f00d"
     When the command line explains the request "f00d"
-    Then the command line ended with 0 and said "request_id=b-1"
-    And the command line ended with 0 and said "request_id=b-2"
-    And the story holds no line of another request
+    Then the command exits with 0 and prints "request_id=b-1"
+    And the command exits with 0 and prints "request_id=b-2"
+    And the output has no line of another request
 
-  Scenario: A request that no log tells of is said to be unknown
+  Scenario: A request that no log contains is reported as not found
     Given the logs of two instances about the request "a-17"
     When the command line explains the request "a-99"
-    Then the command line ended with 3 and said "no line tells of"
+    Then the command exits with 3 and prints "no line of the request a-99 found"
 
-  Scenario: Logs tell whose requests are served badly, and when
-    # Some users complain, most don't. One large account is refused most, and
-    # rightly; a small one within its share is refused, too, which no count of
-    # all requests shows.
+  Scenario: The summary shows the client accounts that are served worst
+    # A large account is refused most, because it is over its share. A small
+    # account within its share is refused as well, which a count over all
+    # requests does not show.
     Given the logs of two instances about a large account and a small one
     When the command line summarizes the logs
-    Then the command line ended with 0 and said "over_share"
-    And the summary says "small" is at "0%" and "large" at "50%"
+    Then the command exits with 0 and prints "over_share"
+    And the summary shows "small" at "0%" and "large" at "50%"
 
-  Scenario: Logs tell whether large requests are served as often as others
-    # Guards against attempts that count as requests, and hide who was served.
+  Scenario: The summary compares how often large and small requests are served
+    # Guards against counting each attempt as a request, which distorts the result.
     Given the logs of an instance that refuses large requests, twice each
     When the command line summarizes the logs
-    Then the summary says "all" had 100 requests, "90%" served
-    And the summary says "largest tenth" had 10 requests, "0%" served
-    And the summary says "fifth below" had 20 requests, "100%" served
-    And the command line ended with 0 and said "refused at 300 ms to read, 40 ms ahead, 240 ms allowed"
+    Then the summary shows "all" with 100 requests, "90%" served
+    And the summary shows "largest tenth" with 10 requests, "0%" served
+    And the summary shows "next fifth" with 20 requests, "100%" served
+    And the command exits with 0 and prints "medians of refused: 300 ms to read, 40 ms to wait, 240 ms allowed"
 
-  Scenario: Logs that tell of no request are said to be so
-    Given the logs of two instances about nothing
+  Scenario: Logs without the end of a request are reported
+    Given the logs of two instances without a request
     When the command line summarizes the logs
-    Then the command line ended with 3 and said "no line tells how"
+    Then the command exits with 3 and prints "no line reports the end of a request"
--- a/tests/features/steps/commands.py
+++ b/tests/features/steps/commands.py
@@ -1,4 +1,4 @@
-"""Steps about the command line."""
+"""Steps for the command line."""
 
 import copy
 import json
@@ -24,9 +24,9 @@
 
 
 def _run_command(context, command):
-    # Wide, so that help texts are not broken within what a step looks for.
+    # Wide, so that help texts do not wrap within the text that a step matches.
     environment = os.environ | {'COLUMNS': '400'}
-    done = subprocess.run(
+    result = subprocess.run(
         command,
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
@@ -34,7 +34,10 @@
         timeout=_TIMEOUT_SECONDS,
         env=environment,
     )
-    context.command_code, context.command_output = done.returncode, done.stdout
+    context.command_code, context.command_output = (
+        result.returncode,
+        result.stdout,
+    )
 
 
 def _submit(context, values, base):
@@ -104,7 +107,7 @@
     'the command line submits the small document with two mistakes on base '
     '{base:d}'
 )
-def submit_mistaken(context, base):
+def submit_invalid(context, base):
     values = _copy_document()
     values['client_accounts'][0]['share'] = 0
     values['backend_servers'][0]['failure_domain'] = 'nowhere'
@@ -122,15 +125,15 @@
 
 
 @behave.when(
-    'the command line starts a router with the settings of a document'
+    'the command line starts a router with a document as settings file'
 )
-def start_mistaken_router(context):
+def start_invalid_router(context):
     _run(context, 'router', 'examples/consorcio/document.toml')
 
 
-@behave.when('a router is hung up on while it loads')
-def hang_up_loading(context):
-    # The program as far as its first imports, the signal, and then the rest.
+@behave.when('a router receives SIGHUP while it loads')
+def send_sighup_loading(context):
+    # Import the program, send the signal, and then run the program.
     text = (
         'import os, signal, sys\n'
         'sys.argv = ["amaranthslip", "router", "missing.toml"]\n'
@@ -141,10 +144,10 @@
     _run_command(context, [sys.executable, '-c', text])
 
 
-@behave.when('a router is asked to stop while it stops')
+@behave.when('a router receives SIGTERM again while it stops')
 def stop_twice(context):
-    # The part of the program that waits for signals, with an instance that
-    # gets one as soon as it runs and another one as it stops.
+    # Runs the part of the program that waits for signals with an instance that
+    # receives a signal as soon as it runs and another one while it stops.
     text = (
         'from amaranthslip import __main__, process\n'
         'import os, signal, gevent\n'
@@ -154,16 +157,16 @@
         '    def stop(self):\n'
         '        os.kill(os.getpid(), signal.SIGTERM)\n'
         '        gevent.sleep(0.1)\n'
-        '        print("stopped in order")\n'
+        '        print("stopped gracefully")\n'
         '        return True\n'
         'process._run_until_stopped(Instance())\n'
     )
     _run_command(context, [sys.executable, '-c', text])
 
 
-@behave.when('a router is asked to stop after it has stopped')
-def stop_exiting(context):
-    # The interpreter takes a while to exit, in which the platform may ask.
+@behave.when('a router receives SIGTERM again after it has stopped')
+def stop_while_exiting(context):
+    # The platform may send SIGTERM while the interpreter is exiting.
     text = (
         'from amaranthslip import __main__, process\n'
         'import os, signal, time\n'
@@ -175,20 +178,20 @@
         'process._run_until_stopped(Instance())\n'
         'os.kill(os.getpid(), signal.SIGTERM)\n'
         'time.sleep(0.1)\n'
-        'print("ended in order")\n'
+        'print("exited normally")\n'
     )
     _run_command(context, [sys.executable, '-c', text])
 
 
-@behave.when('the command line gets "{line}"')
-def run_line(context, line):
+@behave.when('the command line is run with "{line}"')
+def run_arguments(context, line):
     _run(context, *line.split())
 
 
-@behave.then('the command line ended with {code:d} and said "{text}"')
-def check_end(context, code, text):
-    found = context.command_code, context.command_output
-    assert found[0] == code and text in found[1], found
+@behave.then('the command exits with {code:d} and prints "{text}"')
+def check_exit(context, code, text):
+    result = context.command_code, context.command_output
+    assert result[0] == code and text in result[1], result
 
 
 def _list_keys(context):
@@ -210,9 +213,9 @@
     assert any(key.endswith('manifest') for key in keys), keys
 
 
-# Of two instances, as the platform's collector writes them: the second file's
-# lines are between the first's.
-_LOGS = (
+# Logs of two instances in the format of the platform's log collector. The line
+# of the second log falls between the lines of the first one.
+_REQUEST_LOGS = (
     """\
  3.10 one time=2026-12-02T10:00:01.000Z level=warning logger=x instance=one \
 event=backend_server_ejected server=s-1 reason=failures seconds=1.0
@@ -258,19 +261,20 @@
 
 
 @behave.given('the logs of two instances about the request "{name}"')
-def write_logs(context, name):
-    _write_logs(context, *_LOGS)
+def write_request_logs(context, name):
+    _write_logs(context, *_REQUEST_LOGS)
 
 
 @behave.when('the command line explains the request "{name}"')
-def explain(context, name):
+def explain_request(context, name):
     _run(context, 'explain', name, *context.command_logs)
 
 
 @behave.then(
-    'the story is in the order of time, and names what was learnt before'
+    'the lines are in order of time and include the state changes before the '
+    'request'
 )
-def check_story(context):
+def check_request_lines(context):
     lines = context.command_output.splitlines()
     events = [line.split(' ms ')[1].split()[1] for line in lines]
     assert events == [
@@ -283,13 +287,13 @@
     assert lines[0].startswith('.') and lines[1].startswith(' ')
 
 
-@behave.then('the story holds no line of another request')
-def check_no_other(context):
+@behave.then('the output has no line of another request')
+def check_no_other_request(context):
     assert 's-2' not in context.command_output
     assert 'entry_gone' not in context.command_output
 
 
-def _write_ending(second, account, tokens, **fields):
+def _format_end_line(second, account, tokens, **fields):
     pairs = {
         'time': f'2026-12-02T10:00:{second:02d}.000Z',
         'client_account': account,
@@ -311,16 +315,16 @@
 @behave.given(
     'the logs of two instances about a large account and a small one'
 )
-def write_endings(context):
+def write_account_logs(context):
     answered = {'event': 'request_ended', 'status': 200, 'took_ms': 900}
     refused = {'event': 'request_failed', 'status': 429}
     one = [
-        _write_ending(1, 'large', 1000, first_ms=90, **answered),
-        _write_ending(1, 'large', 1000, reason='over_share', **refused),
+        _format_end_line(1, 'large', 1000, first_ms=90, **answered),
+        _format_end_line(1, 'large', 1000, reason='over_share', **refused),
     ]
     two = [
-        _write_ending(1, 'small', 500, reason='overload', **refused),
-        _write_ending(2, 'small', 500, first_ms=500, **answered),
+        _format_end_line(1, 'small', 500, reason='overload', **refused),
+        _format_end_line(2, 'small', 500, first_ms=500, **answered),
     ]
     _write_logs(context, '\n'.join(one), '\n'.join(two))
 
@@ -328,45 +332,47 @@
 @behave.given(
     'the logs of an instance that refuses large requests, twice each'
 )
-def write_sizes(context):
+def write_size_logs(context):
     answered = {'event': 'request_ended', 'status': 200, 'first_ms': 90}
     refused = {'event': 'request_failed', 'reason': 'over_share'}
     refused |= {'reading_ms': 300, 'ahead_ms': 40, 'allowed_ms': 240}
     lines = []
     for number in range(100):
-        # One of the small ones is refused first, and served when it returns.
+        # One of the small requests is refused first, and served when retried.
         attempts = [refused, refused] if number >= 90 else [answered]
         attempts = [refused, answered] if number == 5 else attempts
         lines += [
-            _write_ending(second, 'a', number, prompt_id=f'p{number}', **each)
+            _format_end_line(
+                second, 'a', number, prompt_id=f'p{number}', **each
+            )
             for second, each in enumerate(attempts)
         ]
     _write_logs(context, '\n'.join(lines))
 
 
-@behave.given('the logs of two instances about nothing')
-def write_nothing(context):
+@behave.given('the logs of two instances without a request')
+def write_no_request(context):
     _write_logs(context, 'event=router_started\n', '')
 
 
 @behave.when('the command line summarizes the logs')
-def summarize(context):
+def summarize_logs(context):
     _run(context, 'summarize', *context.command_logs)
 
 
 @behave.then(
-    'the summary says "{name}" had {count:d} requests, "{part}" served'
+    'the summary shows "{name}" with {count:d} requests, "{part}" served'
 )
-def check_sizes(context, name, count, part):
-    words = f'{name} {count} requests {part} served'.split()
+def check_size_group(context, name, count, part):
+    expected = f'{name} {count} requests {part} served'.split()
     lines = [line.split() for line in context.command_output.splitlines()]
-    assert any(line[: len(words)] == words for line in lines), lines
+    assert any(line[: len(expected)] == expected for line in lines), lines
 
 
 @behave.then(
-    'the summary says "{first}" is at "{low}" and "{second}" at "{high}"'
+    'the summary shows "{first}" at "{low}" and "{second}" at "{high}"'
 )
-def check_summary(context, first, low, second, high):
+def check_ranking(context, first, low, second, high):
     lines = context.command_output.splitlines()
     worst = [line.split()[:2] for line in lines]
     assert [first, low] in worst and [second, high] in worst, lines
