--- a/tests/features/console.feature
+++ b/tests/features/console.feature
@@ -1,13 +1,13 @@
-Feature: Operators and automation change the configuration at the operators' port
+Feature: Operators and automation change the configuration on the operators' port
 
   Background:
     Given two consoles on one store whose version 1 is in force
 
-  Scenario Outline: Nothing but health is shown to strangers
-    # The operators' port is found by a scan of the network. Whatever it
-    # tells without a password is told to everyone.
-    When a stranger sends <method> "<path>" to the console
-    Then the console answers <status>
+  Scenario Outline: Unauthenticated clients can read only the health endpoints
+    # A network scan finds the operators' port, so every response without
+    # authentication is public.
+    When an unauthenticated client sends <method> "<path>" to the console
+    Then the console responds with <status>
 
     Examples:
       | method | path               | status |
@@ -26,39 +26,39 @@
       | POST   | /sign-out          | 303    |
       | GET    | /static/anything   | 404    |
 
-  Scenario: A wrong password is refused, again and again
+  Scenario: A wrong password is rejected each time
     When "operator" calls the API with a wrong password 3 times
-    Then the console answers 401
+    Then the console responds with 401
 
   Scenario: Automation changes the configuration with ETag and If-Match
-    When automation reads the document and puts share 9 for "co-lan" on top of its ETag
-    Then the console answers 200
+    When automation reads the document and submits share 9 for "co-lan" on top of its ETag
+    Then the console responds with 200
     And version 2 with share 9 for "co-lan" by "automation" is in force
-    And no password hash was in what automation read, and all operators still sign in
+    And the document that automation read has no password hash, and all operators can still sign in
 
-  Scenario Outline: What became of a submission is told by its status
-    # Automation decides by the status alone whether it may send again.
-    When automation puts a document that <case>
-    Then the console answers <status>
+  Scenario Outline: The status code shows the outcome of a submission
+    # Automation decides by the status code alone whether a retry is safe.
+    When automation submits a document that <case>
+    Then the console responds with <status>
     And the API's error is "<error>"
 
     Examples:
       | case                               | status | error        |
       | has no If-Match                    | 428    | base_missing |
-      | has an If-Match that is no version | 428    | base_missing |
-      | is made from an older version      | 409    | conflict     |
+      | has an If-Match without a version  | 428    | base_missing |
+      | is based on an older version       | 409    | conflict     |
       | has three mistakes                 | 422    | invalid      |
-      | is no JSON                         | 400    | no_json      |
-      | comes while the service is down    | 503    | refused      |
-      | loses its answer and the service   | 504    | unknown      |
-      | comes from a viewer                | 403    | forbidden    |
+      | is not valid JSON                  | 400    | no_json      |
+      | is sent while the service is down  | 503    | refused      |
+      | is stored just before an outage    | 504    | unknown      |
+      | is sent by a viewer                | 403    | forbidden    |
 
-  Scenario: An operator changes a share by the console's forms
-    # The whole way: sign in, change, preview, submit, look in the history.
+  Scenario: An operator changes a share with the console's forms
+    # The complete workflow: sign in, change, preview, submit, check the history.
     Given "operator" is signed in to the first console
     When the operator sets share "12" for "co-lan" in the form
     Then the page shows "share: <del>0.5</del> → <ins>12</ins>"
-    And the draft is nowhere in force
+    And the draft is not in force on any console
     When the operator submits the draft
     Then the page shows "Version 2 was accepted"
     And version 2 with share 12 for "co-lan" by "operator" is in force
@@ -66,19 +66,19 @@
   Scenario: A mistake is shown beside its field
     Given "operator" is signed in to the first console
     When the operator sets share "-3" for "co-lan" in the form
-    Then the console answers 422
+    Then the console responds with 422
     And the page's field "share" has an error with "above 0"
     When the operator sets share "many" for "co-lan" in the form
     Then the page's field "share" has an error with "Not a valid float"
 
-  Scenario: A mistake that shows across sections is shown beside its field
+  Scenario: A mistake found by document validation is shown beside its field
     Given "operator" is signed in to the first console
-    When the operator gives "co-lan" the key of "tri-viet" in the form
+    When the operator assigns "co-lan" the key of "tri-viet" in the form
     Then the page's field "keys" has an error with "tri-viet has this one"
 
-  Scenario: A new service is put together over several forms
-    # A service needs a backend server and a request kind at once, each with
-    # a form of its own, and the forms come from two different routers.
+  Scenario: A new service is created with several forms
+    # A service is valid only together with a backend server and a request kind.
+    # Each has a form of its own, and two different routers serve the forms.
     Given "operator" is signed in to the first console
     When the operator adds the service "dich-thuat" and keeps it in the draft
     Then the page shows "The draft is not valid yet"
@@ -88,13 +88,13 @@
     Then the page shows "Version 2 was accepted"
     And the service "dich-thuat" is in force with 1 backend server
 
-  Scenario: A conflict is shown so that it can be resolved
-    # Two operators change different accounts. The second one must see what
-    # the first changed, keep the own change, and put it on top.
+  Scenario: An operator can resolve a conflict
+    # Two operators change different accounts. The second must see the changes
+    # of the first, keep the own draft, and submit it on top of them.
     Given "operator" is signed in to the first console
     When the operator sets share "12" for "co-lan" in the form
     And automation gets share 9 for "sao-mai" accepted before the draft is submitted
-    Then the console answers 409
+    Then the console responds with 409
     And the page shows "made from version 1, but version 2 is accepted"
     And the page shows "share: <del>4</del> → <ins>9</ins>"
     When version 2 comes into force at the consoles and the operator loads the draft again
@@ -103,48 +103,49 @@
     Then version 3 with share 12 for "co-lan" by "operator" is in force
     And the share of "sao-mai" in force is 9
 
-  Scenario: What was previewed is what is submitted
-    # A version comes into force between preview and submit. The operator
-    # has not seen the difference against it, so it is shown first.
+  Scenario: A draft is submitted only on top of the version that was previewed
+    # A version comes into force between preview and submit. The operator has
+    # not seen the difference to this version, so the difference is shown first.
     Given "operator" is signed in to the first console
     When the operator sets share "12" for "co-lan" in the form
     And version 2 comes into force after the preview and the operator submits the draft
     Then the page shows "Version 2 came into force after your draft was started"
     And the store still has version 2
 
-  Scenario: A form that another site sends is refused
-    # A page elsewhere makes the operator's browser send a form. The cookie
-    # may come along, the token can't, and the origin tells it.
+  Scenario: A form that another site submits is rejected
+    # Cross-site request forgery: a page of another site makes the operator's
+    # browser submit a form. The cookie may be sent, but the site does not know
+    # the token, and the Origin header names the site.
     Given "operator" is signed in to the first console
-    When a form without a token, one with a foreign token and one from another origin are sent
-    Then each foreign form is answered 403
+    When forms without a token, with another session's token and from another origin are sent
+    Then each of these forms is rejected with 403
     And the store still has version 1
 
-  Scenario: A viewer looks and does not change
+  Scenario: A viewer can read but not change the configuration
     Given "guest" is signed in to the first console
     When the operator sets share "12" for "co-lan" in the form
-    Then the console answers 403
+    Then the console responds with 403
     And the page "/list/client_accounts" shows "co-lan" and no "Add"
 
-  Scenario: A session holds on every router and ends with the password
+  Scenario: A session is valid on every router until the password changes
     Given "operator" is signed in to the first console
-    Then the session is good at the second console
-    And a changed, a foreign and an empty session cookie are not
+    Then the session is valid at the second console
+    And modified, empty and other operators' session cookies are rejected
     When the password of "operator" is changed
-    Then the session is no longer good
+    Then the session is no longer valid
 
-  Scenario: The overview shows where each version is in force
+  Scenario: The overview shows the version in force on each instance
     Given "operator" is signed in to the first console
     Then the page "/" shows "hn-b-2" and its version as "behind"
-    And the page "/" is sent with a policy against foreign frames and scripts
+    And the page "/" has a Content-Security-Policy against foreign frames and scripts
 
-  Scenario: Metrics and status are for operators
+  Scenario: Operators can read metrics and status
     When "guest" reads "/metrics" and "/api/status"
     Then the metrics are in the text format and the status has the members
 
-  Scenario: A stranger's silent connections are closed
-    # A stranger opens connections and sends nothing, or half a request. Each
-    # one takes a place, until operators and health checks get none.
-    When a stranger holds a silent and a half-sent connection to the console
+  Scenario: Idle connections of unauthenticated clients are closed
+    # A client opens connections and sends nothing, or part of a request. Each
+    # one takes a slot, until operators and health checks get no connection.
+    When a client holds an idle connection and one with a partial request to the console
     Then the console closes both
-    And no more than a form's worth of a stranger's sign-in is read
+    And a sign-in form above the size limit is rejected
--- a/tests/features/pages.feature
+++ b/tests/features/pages.feature
@@ -1,13 +1,13 @@
-Feature: The operators' pages name all that operators meet
+Feature: The operator documentation covers all names that operators see
 
-  Scenario: Every counter, gauge, setting and exit code is explained
-    # An operator sees a name on a dashboard and finds it on no page, because
-    # the code gained it later.
-    Given the operators' pages are read
-    Then the pages name every counter, gauge and setting
-    And the pages give the default of every setting
-    And the pages name every exit code
+  Scenario: Every counter, gauge, setting and exit code is documented
+    # Guards against names that were added to the code but not documented, such
+    # as a metric that an operator sees on a dashboard.
+    Given the operator documentation is read
+    Then the documentation names every counter, gauge and setting
+    And the documentation states the default of every setting
+    And the documentation names every exit code
 
-  Scenario: Every reason that the code counts is explained
-    Given the operators' pages are read
-    Then the pages name every literal reason of refusals, retries and events
+  Scenario: Every reason that the code counts is documented
+    Given the operator documentation is read
+    Then the documentation names every literal reason of refusals, retries and events
--- a/tests/features/steps/console.py
+++ b/tests/features/steps/console.py
@@ -1,4 +1,4 @@
-"""Steps about the operators' port."""
+"""Steps for the operators' port."""
 
 import json
 import re
@@ -22,18 +22,18 @@
         'version': 1,
         'members': [
             {
-                'name': f'hn-{place}-{number}',
-                'failure_domain': f'hn-{place}',
+                'name': f'hn-{zone}-{number}',
+                'failure_domain': f'hn-{zone}',
                 'state': 'alive',
                 'version': 1 if number == 2 else 1000,
             }
-            for number, place in enumerate('aab')
+            for number, zone in enumerate('aab')
         ],
     }
 
 
 def _open_console(context, client):
-    held = holder.Holder()
+    version_holder = holder.Holder()
     settings = configured.build_settings()
     stored = store.Store(settings, client, backoff_seconds=0.01)
 
@@ -41,29 +41,35 @@
         for each in context.holders:
             each.apply(snapshot.document)
 
-    writer = submission.Submission(stored, holder=held, accepted=accept)
+    submitter = submission.Submission(
+        stored, holder=version_holder, accepted=accept
+    )
     console = server.Console(
-        settings, held, writer, context.describe, metrics.Metrics()
+        settings,
+        version_holder,
+        submitter,
+        context.describe,
+        metrics.Metrics(),
     )
     console.start()
     context.add_cleanup(console.close)
-    context.holders.append(held)
+    context.holders.append(version_holder)
     return console
 
 
 def _submit(context, account, share, base):
-    """Have a version accepted at the store, past the consoles."""
-    direct = store.Store(
+    """Submit a version to the store directly, bypassing the consoles."""
+    direct_store = store.Store(
         configured.build_settings(), context.service.connect()
     )
     values = configured.change_share(context.values, account, share)
-    writer = submission.Submission(direct)
-    return writer.submit(values, base=base, author='elsewhere')
+    submitter = submission.Submission(direct_store)
+    return submitter.submit(values, base=base, author='elsewhere')
 
 
 def _put_in_force(context, snapshot):
-    for held in context.holders:
-        held.apply(snapshot.document)
+    for version_holder in context.holders:
+        version_holder.apply(snapshot.document)
 
 
 @behave.given('two consoles on one store whose version 1 is in force')
@@ -79,18 +85,20 @@
     context.browser = browser.Browser(context.first.address)
 
 
-@behave.when('a stranger sends {method} "{path}" to the console')
-def send_unknown(context, method, path):
+@behave.when(
+    'an unauthenticated client sends {method} "{path}" to the console'
+)
+def send_unauthenticated(context, method, path):
     context.page = context.browser.request(method, path)
 
 
-@behave.then('the console answers {status:d}')
+@behave.then('the console responds with {status:d}')
 def check_status(context, status):
     assert context.page.status == status, (context.page.status, context.page)
 
 
 @behave.when('"{name}" calls the API with a wrong password {times:d} times')
-def call_wrongly(context, name, times):
+def call_with_wrong_password(context, name, times):
     for _ in range(times):
         context.page = context.browser.request(
             'GET', '/api/status', headers=browser.make_basic(name, 'wrong')
@@ -98,26 +106,28 @@
         assert context.page.status == 401
 
 
-def _put(context, values, name='automation', **headers):
-    sent = browser.make_basic(name)
-    sent |= {key.replace('_', '-'): value for key, value in headers.items()}
+def _put_configuration(context, values, name='automation', **headers):
+    sent_headers = browser.make_basic(name)
+    sent_headers |= {
+        key.replace('_', '-'): value for key, value in headers.items()
+    }
     body = values if isinstance(values, str) else json.dumps(values)
     context.page = context.browser.request(
-        'PUT', '/api/configuration', body=body, headers=sent
+        'PUT', '/api/configuration', body=body, headers=sent_headers
     )
 
 
 @behave.when(
-    'automation reads the document and puts share 9 for "co-lan" on top of '
+    'automation reads the document and submits share 9 for "co-lan" on top of '
     'its ETag'
 )
-def read_and_put(context):
+def read_and_submit(context):
     context.read = context.browser.request(
         'GET', '/api/configuration', headers=browser.make_basic('automation')
     )
     values = json.loads(context.read.text)
     values = configured.change_share(values, 'co-lan', 9)
-    _put(context, values, If_Match=context.read.headers['etag'])
+    _put_configuration(context, values, If_Match=context.read.headers['etag'])
 
 
 @behave.then(
@@ -125,9 +135,11 @@
     'is in force'
 )
 def check_in_force(context, version, share, account, author):
-    for held in context.holders:
-        assert held.document.version == version, held.document.version
-        assert held.document.client_accounts[account].share == share
+    for version_holder in context.holders:
+        assert version_holder.document.version == version, (
+            version_holder.document.version
+        )
+        assert version_holder.document.client_accounts[account].share == share
     page = context.browser.request(
         'GET', '/api/history', headers=browser.make_basic('guest')
     )
@@ -136,8 +148,8 @@
 
 
 @behave.then(
-    'no password hash was in what automation read, and all operators still '
-    'sign in'
+    'the document that automation read has no password hash, and all '
+    'operators can still sign in'
 )
 def check_passwords(context):
     assert 'scrypt' not in context.read.text
@@ -148,39 +160,39 @@
         assert page.status == 200, name
 
 
-def _prepare_put(context, case):
-    """Return who puts, and on top of which version, once all is set up."""
+def _prepare_submission(context, case):
+    """Set up a case; return the operator and the If-Match of the request."""
     name, base = 'automation', '"1"'
     if case == 'has no If-Match':
         base = None
-    elif case == 'has an If-Match that is no version':
+    elif case == 'has an If-Match without a version':
         base = '*'
-    elif case == 'is made from an older version':
+    elif case == 'is based on an older version':
         base = '"0"'
-    elif case == 'comes while the service is down':
+    elif case == 'is sent while the service is down':
         context.service.down = True
-    elif case == 'loses its answer and the service':
+    elif case == 'is stored just before an outage':
         context.client.lose_service = True
-    elif case == 'comes from a viewer':
+    elif case == 'is sent by a viewer':
         name = 'guest'
     return name, base
 
 
-@behave.when('automation puts a document that {case}')
-def put_document(context, case):
+@behave.when('automation submits a document that {case}')
+def submit_document(context, case):
     values = configured.change_share(context.values, 'co-lan', 3)
-    name, base = _prepare_put(context, case)
+    name, base = _prepare_submission(context, case)
     if case == 'has three mistakes':
         for account in values['client_accounts'][:3]:
             account['share'] = 0
-    elif case == 'is no JSON':
+    elif case == 'is not valid JSON':
         values = '{"services": '
     headers = {'If_Match': base} if base else {}
-    _put(context, values, name, **headers)
+    _put_configuration(context, values, name, **headers)
     if case == 'has three mistakes':
-        found = json.loads(context.page.text)['mistakes']
-        paths = [each['path'] for each in found]
-        expected = [f'client_accounts[{place}].share' for place in range(3)]
+        mistakes = json.loads(context.page.text)['mistakes']
+        paths = [each['path'] for each in mistakes]
+        expected = [f'client_accounts[{index}].share' for index in range(3)]
         assert paths == expected, paths
 
 
@@ -209,7 +221,7 @@
     _edit(context, 'client_accounts', name, share=share)
 
 
-@behave.when('the operator gives "{name}" the key of "{other}" in the form')
+@behave.when('the operator assigns "{name}" the key of "{other}" in the form')
 def set_key(context, name, other):
     key = documents.hash_key(other)
     _edit(context, 'client_accounts', name, keys=key)
@@ -220,10 +232,10 @@
     assert text in context.page.text, context.page.text
 
 
-@behave.then('the draft is nowhere in force')
+@behave.then('the draft is not in force on any console')
 def check_not_in_force(context):
-    for held in context.holders:
-        assert held.document.version == 1
+    for version_holder in context.holders:
+        assert version_holder.document.version == 1
 
 
 def _submit_draft(context):
@@ -239,9 +251,9 @@
 @behave.then('the page\'s field "{field}" has an error with "{text}"')
 def check_field_error(context, field, text):
     pattern = rf'id="{field}-error">(.*?)</div>'
-    shown = re.search(pattern, context.page.text, re.DOTALL)
-    assert shown is not None, context.page.text
-    assert text in shown[1], shown[1]
+    match = re.search(pattern, context.page.text, re.DOTALL)
+    assert match is not None, context.page.text
+    assert text in match[1], match[1]
     assert 'aria-invalid="true"' in context.page.text
 
 
@@ -263,7 +275,7 @@
     'the operator adds its backend server and, at the second console, its '
     'request kind'
 )
-def add_rest(context):
+def add_server_and_request_kind(context):
     _add(
         context,
         'backend_servers',
@@ -285,9 +297,9 @@
 
 @behave.then('the service "{name}" is in force with {count:d} backend server')
 def check_service(context, name, count):
-    for held in context.holders:
-        assert name in held.document.services
-        servers = held.document.backend_servers.values()
+    for version_holder in context.holders:
+        assert name in version_holder.document.services
+        servers = version_holder.document.backend_servers.values()
         assert sum(each.service == name for each in servers) == count
 
 
@@ -295,7 +307,7 @@
     'automation gets share 9 for "sao-mai" accepted before the draft is '
     'submitted'
 )
-def overtake_draft(context):
+def submit_conflicting_version(context):
     context.other = _submit(context, 'sao-mai', 9, 1)
     _submit_draft(context)
 
@@ -304,22 +316,22 @@
     'version 2 comes into force at the consoles and the operator loads the '
     'draft again'
 )
-def load_again(context):
+def reload_draft(context):
     _put_in_force(context, context.other)
     context.page = context.browser.get('/draft')
 
 
 @behave.then('the share of "{name}" in force is {share:d}')
 def check_share(context, name, share):
-    for held in context.holders:
-        assert held.document.client_accounts[name].share == share
+    for version_holder in context.holders:
+        assert version_holder.document.client_accounts[name].share == share
 
 
 @behave.when(
     'version 2 comes into force after the preview and the operator submits '
     'the draft'
 )
-def move_version(context):
+def outdate_preview(context):
     _put_in_force(context, _submit(context, 'sao-mai', 9, 1))
     _submit_draft(context)
 
@@ -333,7 +345,7 @@
 
 
 @behave.then('the page "{path}" shows "{text}" and no "{missing}"')
-def check_viewer(context, path, text, missing):
+def check_shown_and_missing(context, path, text, missing):
     page = context.browser.get(path)
     assert text in page.text and f'>{missing}<' not in page.text
 
@@ -357,10 +369,10 @@
 
 
 @behave.then(
-    'the page "{path}" is sent with a policy against foreign frames and '
-    'scripts'
+    'the page "{path}" has a Content-Security-Policy against foreign frames '
+    'and scripts'
 )
-def check_headers(context, path):
+def check_security_headers(context, path):
     headers = context.browser.get(path).headers
     policy = headers['content-security-policy']
     assert "frame-ancestors 'none'" in policy
@@ -369,7 +381,7 @@
 
 
 @behave.when('"{name}" reads "{first}" and "{second}"')
-def read_both(context, name, first, second):
+def read_two_paths(context, name, first, second):
     context.answers = [
         context.browser.request('GET', path, headers=browser.make_basic(name))
         for path in (first, second)
@@ -379,7 +391,7 @@
 @behave.then(
     'the metrics are in the text format and the status has the members'
 )
-def check_both(context):
+def check_metrics_and_status(context):
     counted, status = context.answers
     assert counted.headers['content-type'].startswith('text/plain')
     assert '# TYPE amaranthslip_configuration_total counter' in counted.text
--- a/tests/features/steps/console_access.py
+++ b/tests/features/steps/console_access.py
@@ -1,4 +1,4 @@
-"""Steps about who may use the operators' port: sessions, tokens, strangers."""
+"""Steps for access control on the operators' port."""
 
 import behave
 from gevent import socket
@@ -8,25 +8,29 @@
 
 
 @behave.when(
-    'a form without a token, one with a foreign token and one from another '
+    "forms without a token, with another session's token and from another "
     'origin are sent'
 )
-def send_foreign_forms(context):
+def send_forged_forms(context):
     path = '/edit/client_accounts?name=co-lan'
-    good = context.browser.get(path).fill(share='7', action='save')
-    stranger = browser.Browser(context.first.address)
-    stranger.sign_in('automation')
-    foreign = dict(stranger.get(path).fields)['csrf_token']
-    rest = [pair for pair in good if pair[0] != 'csrf_token']
-    context.foreign = [
-        context.browser.post(path, rest),
-        context.browser.post(path, [*rest, ('csrf_token', foreign)]),
+    valid_fields = context.browser.get(path).fill(share='7', action='save')
+    other_browser = browser.Browser(context.first.address)
+    other_browser.sign_in('automation')
+    other_token = dict(other_browser.get(path).fields)['csrf_token']
+    fields_without_token = [
+        pair for pair in valid_fields if pair[0] != 'csrf_token'
     ]
-    context.foreign.append(
+    context.forged = [
+        context.browser.post(path, fields_without_token),
+        context.browser.post(
+            path, [*fields_without_token, ('csrf_token', other_token)]
+        ),
+    ]
+    context.forged.append(
         context.browser.request(
             'POST',
             path,
-            body=browser.urllib.parse.urlencode(good),
+            body=browser.urllib.parse.urlencode(valid_fields),
             headers={
                 'Content-Type': 'application/x-www-form-urlencoded',
                 'Origin': 'http://elsewhere.example',
@@ -35,68 +39,71 @@
     )
 
 
-@behave.then('each foreign form is answered {status:d}')
-def check_foreign(context, status):
-    found = [page.status for page in context.foreign]
-    assert found == [status] * 3, found
+@behave.then('each of these forms is rejected with {status:d}')
+def check_forged_forms(context, status):
+    statuses = [page.status for page in context.forged]
+    assert statuses == [status] * 3, statuses
 
 
-def _is_good(context, cookie, address=None):
-    visitor = browser.Browser(address or context.first.address)
-    visitor.cookies = {'amaranthslip_session': cookie}
-    return visitor.request('GET', '/').status == 200
+def _is_valid(context, cookie, address=None):
+    other = browser.Browser(address or context.first.address)
+    other.cookies = {'amaranthslip_session': cookie}
+    return other.request('GET', '/').status == 200
 
 
-@behave.then('the session is good at the second console')
-def check_second(context):
+@behave.then('the session is valid at the second console')
+def check_valid_at_second(context):
     cookie = context.browser.cookies['amaranthslip_session']
-    assert _is_good(context, cookie, context.second.address)
+    assert _is_valid(context, cookie, context.second.address)
 
 
-@behave.then('a changed, a foreign and an empty session cookie are not')
-def check_forged(context):
+@behave.then(
+    "modified, empty and other operators' session cookies are rejected"
+)
+def check_invalid_cookies(context):
     cookie = context.browser.cookies['amaranthslip_session']
     name, _, token = cookie.partition(':')
-    assert not _is_good(context, cookie[:-2] + 'xx')
-    assert not _is_good(context, f'automation:{token}')
-    assert not _is_good(context, 'operator:')
-    assert not _is_good(context, f'nobody:{token}')
+    assert not _is_valid(context, cookie[:-2] + 'xx')
+    assert not _is_valid(context, f'automation:{token}')
+    assert not _is_valid(context, 'operator:')
+    assert not _is_valid(context, f'nobody:{token}')
     assert name == 'operator'
 
 
-@behave.then('the session is no longer good')
-def check_ended(context):
-    assert not _is_good(
+@behave.then('the session is no longer valid')
+def check_session_ended(context):
+    assert not _is_valid(
         context, context.browser.cookies['amaranthslip_session']
     )
 
 
 @behave.when(
-    'a stranger holds a silent and a half-sent connection to the console'
+    'a client holds an idle connection and one with a partial request to the '
+    'console'
 )
 def hold_connections(context):
     before = server.IDLE_TIMEOUT_SECONDS
     server.IDLE_TIMEOUT_SECONDS = 0.3
     context.add_cleanup(setattr, server, 'IDLE_TIMEOUT_SECONDS', before)
     host, _, port = context.first.address.rpartition(':')
-    context.held = [
+    context.open_connections = [
         socket.create_connection((host, int(port))) for _ in range(2)
     ]
-    context.held[1].sendall(b'GET /health HTTP/1.1\r\nHost: ')
+    context.open_connections[1].sendall(b'GET /health HTTP/1.1\r\nHost: ')
 
 
 @behave.then('the console closes both')
-def check_closed(context):
-    for held in context.held:
-        held.settimeout(30)
+def check_connections_closed(context):
+    for connection in context.open_connections:
+        connection.settimeout(30)
         received = b''
-        while data := held.recv(4096):
+        while data := connection.recv(4096):
             received += data
         assert b' 200 ' not in received, received
-        held.close()
+        connection.close()
 
 
-@behave.then("no more than a form's worth of a stranger's sign-in is read")
+@behave.then('a sign-in form above the size limit is rejected')
 def check_form_limit(context):
     page = context.browser.request(
         'POST',
--- a/tests/features/steps/pages.py
+++ b/tests/features/steps/pages.py
@@ -1,4 +1,4 @@
-"""Steps that compare the operators' pages with the code."""
+"""Steps that compare the operator documentation with the code."""
 
 import pathlib
 import re
@@ -10,9 +10,9 @@
 from amaranthslip import settings
 
 _ROOT = pathlib.Path(__file__).resolve().parents[3]
-_PAGES = ('OPERATIONS.md', 'operating-members.md', 'configuration.md')
-# The word that a counter's label or an error's reason is given as.
-_REASONS = (
+_DOCUMENTS = ('OPERATIONS.md', 'operating-members.md', 'configuration.md')
+# Patterns of code that sets a counter's label or an error's reason.
+_REASON_PATTERNS = (
     r"(?:RequestRefused|_refuse)\(\s*'([a-z_]+)'",
     r"(?:BackendFailed|_describe_cut|_fail)\(\s*'([a-z_]+)'",
     r"\.count\(\s*'[a-z_]+', '([a-z_]+)'",
@@ -20,14 +20,16 @@
 )
 
 
-@behave.given("the operators' pages are read")
-def read_pages(context):
+@behave.given('the operator documentation is read')
+def read_documentation(context):
     folder = _ROOT / 'docs'
-    texts = [(folder / name).read_text(encoding='utf-8') for name in _PAGES]
-    context.pages = '\n'.join(texts)
+    texts = [
+        (folder / name).read_text(encoding='utf-8') for name in _DOCUMENTS
+    ]
+    context.documentation = '\n'.join(texts)
 
 
-@behave.then('the pages name every counter, gauge and setting')
+@behave.then('the documentation names every counter, gauge and setting')
 def check_names(context):
     names = [f'`{name}{{' for name in metrics.COUNTERS]
     names += [f'`{name}{{' for name in metrics.GAUGES]
@@ -37,25 +39,29 @@
         for section, keys in settings.SECTIONS.items()
         for key in keys
     ]
-    missing = [name for name in names if name not in context.pages]
+    missing = [name for name in names if name not in context.documentation]
     assert not missing, missing
 
 
-@behave.then('the pages give the default of every setting')
+@behave.then('the documentation states the default of every setting')
 def check_defaults(context):
     for section, keys in settings.SECTIONS.items():
         for key, kind in keys.items():
             row = re.search(
                 rf'^\| `{section}\.{key}` \| ([^|]+) \| [^|]+ \|$',
-                context.pages,
+                context.documentation,
                 re.MULTILINE,
             )
             assert row is not None, f'{section}.{key}'
-            told = row[1].strip('` ')
-            assert told == _show_default(kind), (section, key, told)
+            documented = row[1].strip('` ')
+            assert documented == _format_default(kind), (
+                section,
+                key,
+                documented,
+            )
 
 
-def _show_default(kind) -> str:
+def _format_default(kind) -> str:
     if kind.required:
         return 'required'
     default = kind.default
@@ -66,23 +72,34 @@
     return default or 'empty'
 
 
-@behave.then('the pages name every exit code')
+@behave.then('the documentation names every exit code')
 def check_exit_codes(context):
-    rows = re.findall(r'^\| (\d+) \| [^|]+ \|$', context.pages, re.MULTILINE)
+    rows = re.findall(
+        r'^\| (\d+) \| [^|]+ \|$', context.documentation, re.MULTILINE
+    )
     assert {int(row) for row in rows} == {int(each) for each in exits.ExitCode}
 
 
 @behave.then(
-    'the pages name every literal reason of refusals, retries and events'
+    'the documentation names every literal reason of refusals, retries and '
+    'events'
 )
 def check_reasons(context):
     sources = (_ROOT / 'src').rglob('*.py')
     code = '\n'.join(path.read_text(encoding='utf-8') for path in sources)
-    reasons = {each for form in _REASONS for each in re.findall(form, code)}
-    # Fewer would mean that the forms above no longer fit the code.
+    reasons = {
+        each
+        for pattern in _REASON_PATTERNS
+        for each in re.findall(pattern, code)
+    }
+    # Fewer matches would mean that the patterns no longer match the code.
     assert len(reasons) > 50, sorted(reasons)
-    missing = [each for each in reasons if f'`{each}`' not in context.pages]
     missing = [
-        each for each in missing if f'event="{each}"' not in context.pages
+        each for each in reasons if f'`{each}`' not in context.documentation
+    ]
+    missing = [
+        each
+        for each in missing
+        if f'event="{each}"' not in context.documentation
     ]
     assert not missing, sorted(missing)
--- a/tests/support/browser.py
+++ b/tests/support/browser.py
@@ -1,4 +1,4 @@
-"""A small browser for the console: cookies, forms and redirections."""
+"""A minimal browser for the console: cookies, forms and redirections."""
 
 import base64
 import html.parser
@@ -10,7 +10,7 @@
 
 
 class Page(html.parser.HTMLParser):
-    """One answer: its status, its text and its forms' fields."""
+    """One response: its status, its text and the fields of its forms."""
 
     def __init__(self, status: int, headers: dict[str, str], text: str):
         super().__init__()
@@ -24,18 +24,20 @@
             self.feed(text)
 
     def handle_starttag(self, tag: str, attrs: typing.Any) -> None:
-        given = dict(attrs)
+        attributes = dict(attrs)
         if tag == 'select':
-            self._select = given['name']
-        elif tag == 'option' and 'selected' in given:
-            self.fields.append((self._select, given['value']))
+            self._select = attributes['name']
+        elif tag == 'option' and 'selected' in attributes:
+            self.fields.append((self._select, attributes['value']))
         elif tag == 'textarea':
-            self._textarea = given['name']
+            self._textarea = attributes['name']
             self.fields.append((self._textarea, ''))
-        elif tag == 'input' and given.get('name'):
-            kind = given.get('type')
-            if kind != 'checkbox' or 'checked' in given:
-                self.fields.append((given['name'], given.get('value', '')))
+        elif tag == 'input' and attributes.get('name'):
+            kind = attributes.get('type')
+            if kind != 'checkbox' or 'checked' in attributes:
+                self.fields.append(
+                    (attributes['name'], attributes.get('value', ''))
+                )
 
     def handle_endtag(self, tag: str) -> None:
         if tag == 'textarea':
@@ -47,16 +49,16 @@
             self.fields.append((name, before + data.lstrip('\r\n')))
 
     def fill(self, **values: object) -> list[tuple[str, str]]:
-        """Return the fields with some of them set; lists set several."""
-        kept = [pair for pair in self.fields if pair[0] not in values]
+        """Return the fields, some replaced; a list sets several values."""
+        fields = [pair for pair in self.fields if pair[0] not in values]
         for name, value in values.items():
             for each in value if isinstance(value, list) else [value]:
-                kept.append((name, str(each)))
-        return kept
+                fields.append((name, str(each)))
+        return fields
 
 
 class Browser:
-    """One operator's browser, or one automation's client."""
+    """The browser of an operator, or the HTTP client of automation."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -70,25 +72,27 @@
         body: str = '',
         headers: dict[str, str] | None = None,
     ) -> Page:
-        """Send one request; redirections are not followed."""
+        """Send one request without following redirections."""
         host, _, port = self.address.rpartition(':')
         client = geventhttpclient.HTTPClient(
             host, int(port), network_timeout=60, connection_timeout=10
         )
-        sent = dict(headers or {})
+        sent_headers = dict(headers or {})
         if self.cookies:
             pairs = (f'{key}={value}' for key, value in self.cookies.items())
-            sent['Cookie'] = '; '.join(pairs)
-        answer = client.request(method, path, body, sent)
-        text = answer.read().decode()
-        received = {key.lower(): value for key, value in answer.items()}
-        for key, value in answer.items():
+            sent_headers['Cookie'] = '; '.join(pairs)
+        response = client.request(method, path, body, sent_headers)
+        text = response.read().decode()
+        response_headers = {
+            key.lower(): value for key, value in response.items()
+        }
+        for key, value in response.items():
             if key.lower() == 'set-cookie':
-                self._keep_cookie(value)
+                self._store_cookie(value)
         client.close()
-        return Page(answer.status_code, received, text)
+        return Page(response.status_code, response_headers, text)
 
-    def _keep_cookie(self, text: str) -> None:
+    def _store_cookie(self, text: str) -> None:
         for name, morsel in http.cookies.SimpleCookie(text).items():
             if morsel.value:
                 self.cookies[name] = morsel.coded_value
@@ -105,7 +109,7 @@
     def post(
         self, path: str, fields: typing.Iterable[tuple[str, str]]
     ) -> Page:
-        """Send a form, following redirections."""
+        """Submit a form, following redirections."""
         page = self.request(
             'POST',
             path,
@@ -120,14 +124,14 @@
         return page
 
     def sign_in(self, name: str) -> Page:
-        """Sign in with an example operator's name and password."""
+        """Sign in as an operator of the example document."""
         page = self.get('/sign-in')
         fields = page.fill(name=name, password=f'password-{name}')
         return self.post('/sign-in', fields)
 
 
 def make_basic(name: str, password: str | None = None) -> dict[str, str]:
-    """Return the header of the Basic scheme."""
+    """Return the Authorization header for HTTP Basic."""
     text = f'{name}:{password or "password-" + name}'
-    code = base64.b64encode(text.encode()).decode()
-    return {'Authorization': f'Basic {code}'}
+    encoded = base64.b64encode(text.encode()).decode()
+    return {'Authorization': f'Basic {encoded}'}
