--- a/tests/features/commands.feature
+++ b/tests/features/commands.feature
@@ -44,7 +44,7 @@
   Scenario: SIGHUP while a router loads does not terminate it
     # The platform changes the settings file of an instance that it has just
     # started, and sends SIGHUP. The process has not installed its handler yet,
-    # and the signal's default action terminates it silently.
+    # and the signal's default action would terminate it silently.
     When a router receives SIGHUP while it loads
     Then the command exits with 3 and prints "(file)"
 
--- a/tests/features/console.feature
+++ b/tests/features/console.feature
@@ -89,8 +89,8 @@
     And the service "dich-thuat" is in force with 1 backend server
 
   Scenario: An operator can resolve a conflict
-    # Two operators change different accounts. The second must see the changes
-    # of the first, keep the own draft, and submit it on top of them.
+    # Two operators change different accounts. The second one must see the first
+    # one's changes, keep the draft, and submit the draft on top of them.
     Given "operator" is signed in to the first console
     When the operator sets share "12" for "co-lan" in the form
     And automation gets share 9 for "sao-mai" accepted before the draft is submitted
