--- a/src/amaranthslip/console/editing.py
+++ b/src/amaranthslip/console/editing.py
@@ -62,7 +62,9 @@
             (each for each in values[section] if each['name'] == name), None
         )
         if name and stored_item is None:
-            raise exceptions.NotFound(f'Section {section} has no item {name}.')
+            raise exceptions.NotFound(
+                f'There is no item {name} in section {section}.'
+            )
         form = forms.SECTION_FORMS[section](
             request.form if request.method == 'POST' else None,
             data=stored_item,
@@ -113,7 +115,7 @@
             name=name,
             fields=fields,
             hints=hints,
-            can_keep=can_keep,
+            may_keep=can_keep,
         )
 
     def _add_mistakes(
@@ -216,7 +218,7 @@
             draft=draft,
             mistakes=_locate_mistakes(result.mistakes, draft.apply(current)),
             difference=difference,
-            outdated_base=outdated_base,
+            moved=outdated_base,
             conflict=conflict,
             failure=failure,
         )
--- a/src/amaranthslip/console/pages.py
+++ b/src/amaranthslip/console/pages.py
@@ -229,7 +229,7 @@
         return self.render(
             'history.html',
             session,
-            acceptances=acceptances,
+            known=acceptances,
             failure=failure,
             accepted=request.args.get('accepted', 0, type=int),
         )
