--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load, measurement and reports."""
+"""Load generation, measurement and reports for router fleets."""
--- a/bench/callers.py
+++ b/bench/callers.py
@@ -1,4 +1,4 @@
-"""Callers: each sends streamed chat requests and checks every answer."""
+"""Clients that send streamed chat requests and verify every answer."""
 
 import functools
 import json
@@ -16,15 +16,16 @@
 from standins import generation
 
 _PATH = '/v1/chat/completions'
-_TIMEOUT_SECONDS = 300.0
-_CONNECTIONS = 4096
+_READ_TIMEOUT_SECONDS = 300.0
+_MAX_CONNECTIONS = 4096
 _PAUSE_SECONDS = 0.05
 _PROMPT_WEIGHT = 0.1
-_EVENT = b'data: '
-_END = b'[DONE]'
-# Every token of the stand-in engine begins so; see standins.generation.
-_TOKEN = b' w'
-_FAILURES = (
+_EVENT_PREFIX = b'data: '
+_END_MARKER = b'[DONE]'
+# Prefix of every token that the stand-in engine generates; see
+# standins.generation.
+_TOKEN_PREFIX = b' w'
+_CONNECTION_ERRORS = (
     OSError,
     ValueError,
     client_response.HTTPParseError,
@@ -32,14 +33,15 @@
 
 
 class Request:
-    """One request and the answer that it must get.
+    """One request and the answer that the stand-in engine must return.
 
     Parameters
     ----------
     traffic : Traffic
-        Whose request it is.
+        The traffic that the request belongs to.
     name : str
-        Unique in the run: it makes the answer this request's own.
+        Unique within the run. It is part of the prompt, so the expected
+        answer differs from that of every other request.
     length : int
         Tokens to generate.
     """
@@ -47,7 +49,7 @@
     __slots__ = ('body', 'headers', 'expected', 'prompt_tokens')
 
     def __init__(self, traffic: plans.Traffic, name: str, length: int) -> None:
-        prefix = _write_prefix(traffic.account, traffic.prompt_words)
+        prefix = _build_prompt_prefix(traffic.account, traffic.prompt_words)
         prompt = f'{prefix} {name} LENGTH={length}'
         messages = [{'role': 'user', 'content': prompt}]
         text = generation.flatten(messages)
@@ -65,12 +67,12 @@
 
 
 @functools.cache
-def _write_prefix(account: str, words: int) -> str:
+def _build_prompt_prefix(account: str, words: int) -> str:
     return ' '.join(f'{account}-{index}' for index in range(words))
 
 
 class Callers:
-    """Runs one plan in this process."""
+    """Runs the traffic of one plan in this process."""
 
     __slots__ = ('_plan', '_clients', 'observation', '_count')
 
@@ -85,25 +87,28 @@
         )
 
     def run(self) -> None:
-        """Send what is planned; return when the planned time is over."""
+        """Send the planned traffic until the planned time has passed.
+
+        Requests in progress at that time are cancelled.
+        """
         gevent.sleep(max(0.0, self._plan.start - time.monotonic()))
         greenlets = []
         for index, traffic in enumerate(self._plan.traffics):
             for caller in range(traffic.callers):
-                random = self._seed(traffic, index, caller)
+                random = self._build_generator(traffic, index, caller)
                 greenlets.append(
-                    gevent.spawn(self._call_in_turn, traffic, random)
+                    gevent.spawn(self._run_closed_loop, traffic, random)
                 )
             if traffic.rate:
-                random = self._seed(traffic, index, -1)
+                random = self._build_generator(traffic, index, -1)
                 greenlets.append(
-                    gevent.spawn(self._call_at_rate, traffic, random)
+                    gevent.spawn(self._run_open_loop, traffic, random)
                 )
         left = self._plan.start + self._plan.seconds - time.monotonic()
         gevent.sleep(max(0.0, left))
         gevent.killall(greenlets)
 
-    def _seed(
+    def _build_generator(
         self, traffic: plans.Traffic, index: int, caller: int
     ) -> numpy.random.Generator:
         name = zlib.crc32(traffic.account.encode())
@@ -111,38 +116,43 @@
             [self._plan.seed, name, index, caller + 1]
         )
 
-    def _measure_time(self) -> float:
+    def _read_elapsed_seconds(self) -> float:
         return time.monotonic() - self._plan.start
 
-    def _call_in_turn(
+    def _run_closed_loop(
         self, traffic: plans.Traffic, random: numpy.random.Generator
     ) -> None:
         while True:
-            if not traffic.is_active(self._measure_time()):
+            if not traffic.is_active(self._read_elapsed_seconds()):
                 gevent.sleep(_PAUSE_SECONDS)
                 continue
-            wait = self._call(traffic, random)
+            wait = self._send_random_request(traffic, random)
             if wait:
                 gevent.sleep(wait * random.uniform(0.75, 1.25))
 
-    def _call_at_rate(
+    def _run_open_loop(
         self, traffic: plans.Traffic, random: numpy.random.Generator
     ) -> None:
         greenlets: set[gevent.Greenlet] = set()
         try:
             while True:
                 gevent.sleep(random.exponential(1 / traffic.rate))
-                if traffic.is_active(self._measure_time()):
-                    greenlet = gevent.spawn(self._call, traffic, random)
+                if traffic.is_active(self._read_elapsed_seconds()):
+                    greenlet = gevent.spawn(
+                        self._send_random_request, traffic, random
+                    )
                     greenlets.add(greenlet)
                     greenlet.rawlink(greenlets.discard)
         finally:
             gevent.killall(list(greenlets))
 
-    def _call(
+    def _send_random_request(
         self, traffic: plans.Traffic, random: numpy.random.Generator
     ) -> float:
-        """Send one request; return how long to wait before the next."""
+        """Send one request of random length to a random router.
+
+        Returns the seconds to wait before the next request.
+        """
         self._count += 1
         name = f'{traffic.account}-{random.integers(1 << 40):x}-{self._count}'
         entry = traffic.entries[random.integers(len(traffic.entries))]
@@ -157,18 +167,19 @@
         *,
         entry: str = '',
     ) -> float:
-        """Send one request and record how it ended.
+        """Send one request and record its outcome.
 
         Parameters
         ----------
         traffic : Traffic
-            Whose request it is.
+            The traffic that the request belongs to.
         name : str
-            Unique in the run.
+            Unique within the run.
         length : int
             Tokens to generate.
         entry : str
-            The router to ask; the traffic's first one by default.
+            Address of the router to send to; by default the first of the
+            traffic's routers.
 
         Returns
         -------
@@ -185,40 +196,40 @@
         try:
             return self._send(request, record)
         except ConnectionRefusedError:
-            # Nothing was sent: as good as a refusal, and a caller's balancer
-            # sends it to another router.
+            # Nothing was sent, so the request counts as refused: a real
+            # caller's load balancer would send it to another router.
             record.outcome = records.REFUSED
             record.reason = 'no_connection'
             record.end = time.monotonic()
             return _PAUSE_SECONDS
-        except _FAILURES as error:
+        except _CONNECTION_ERRORS as error:
             record.outcome = records.FAILED
             record.reason = f'connection: {type(error).__name__}'
             record.end = time.monotonic()
             return self._plan.most_wait_seconds
 
-    def _open(self, entry: str) -> geventhttpclient.HTTPClient:
+    def _get_client(self, entry: str) -> geventhttpclient.HTTPClient:
         if entry not in self._clients:
             address, _, port = entry.rpartition(':')
             self._clients[entry] = geventhttpclient.HTTPClient(
                 address,
                 int(port),
-                concurrency=_CONNECTIONS,
+                concurrency=_MAX_CONNECTIONS,
                 connection_timeout=5.0,
-                network_timeout=_TIMEOUT_SECONDS,
+                network_timeout=_READ_TIMEOUT_SECONDS,
             )
         return self._clients[entry]
 
     def _send(self, request: Request, record: records.Record) -> float:
-        client = self._open(record.entry)
+        client = self._get_client(record.entry)
         with client.post(_PATH, request.body, request.headers) as response:
             record.status = response.status_code
             if response.status_code != 200:
-                return self._note_refusal(response, record)
+                return self._record_refusal(response, record)
             self._read_stream(response, request, record)
             return 0.0
 
-    def _note_refusal(
+    def _record_refusal(
         self,
         response: client_response.HTTPSocketPoolResponse,
         record: records.Record,
@@ -229,9 +240,9 @@
         record.reason = str(error.get('code') or f'status {record.status}')
         refused = error.get('not_run', False)
         record.outcome = records.REFUSED if refused else records.FAILED
-        advised = float(response.get('retry-after', 0) or 0)
-        most = self._plan.most_wait_seconds
-        return min(most, advised) if advised else most
+        retry_after = float(response.get('retry-after', 0) or 0)
+        max_wait = self._plan.most_wait_seconds
+        return min(max_wait, retry_after) if retry_after else max_wait
 
     def _read_stream(
         self,
@@ -239,15 +250,15 @@
         request: Request,
         record: records.Record,
     ) -> None:
-        lines, last = [], 0.0
+        lines, last_token_time = [], 0.0
         ended = False
         while line := response.readline(b'\n'):
-            if not line.startswith(_EVENT):
+            if not line.startswith(_EVENT_PREFIX):
                 continue
-            if line.startswith(_END, len(_EVENT)):
+            if line.startswith(_END_MARKER, len(_EVENT_PREFIX)):
                 ended = True
                 continue
-            tokens = line.count(_TOKEN)
+            tokens = line.count(_TOKEN_PREFIX)
             lines.append(bytes(line))
             if not tokens:
                 continue
@@ -255,26 +266,30 @@
             if record.first is None:
                 record.first = now
                 prompt = request.prompt_tokens * _PROMPT_WEIGHT
-                self.observation.deliver(record.account, now, prompt)
+                self.observation.record_delivery(record.account, now, prompt)
             else:
-                self.observation.gaps.append(now - last)
-            last = now
+                self.observation.gaps.append(now - last_token_time)
+            last_token_time = now
             record.tokens += tokens
-            self.observation.deliver(record.account, now, tokens)
+            self.observation.record_delivery(record.account, now, tokens)
         record.end = time.monotonic()
-        _judge(record, lines, request.expected, ended)
+        _set_outcome(record, lines, request.expected, ended)
 
 
-def _judge(
+def _set_outcome(
     record: records.Record,
     lines: typing.Sequence[bytes],
     expected: str,
     ended: bool,
 ) -> None:
-    """Set the outcome: an answer must be the request's own, and whole."""
+    """Set the outcome of a record from the streamed answer.
+
+    Only the complete expected text counts as done. A correct but incomplete
+    text without an end marker counts as failed, any other text as wrong.
+    """
     text = ''
     for line in lines:
-        event = json.loads(line[len(_EVENT) :])
+        event = json.loads(line[len(_EVENT_PREFIX) :])
         if 'error' in event:
             record.outcome = records.FAILED
             record.reason = f'stream: {event["error"].get("code")}'
@@ -288,7 +303,7 @@
         record.reason = 'stream cut'
     else:
         record.outcome = records.WRONG
-        record.reason = f'{len(text)} characters for {len(expected)}'
+        record.reason = f'{len(text)} characters, expected {len(expected)}'
 
 
 def _read_error(body: bytes) -> dict[str, typing.Any]:
--- a/bench/control.py
+++ b/bench/control.py
@@ -1,4 +1,7 @@
-"""HTTP to stand-ins and to operators' ports, from the bench's main process."""
+"""HTTP client for the control ports of stand-ins and the operators' ports.
+
+Used from the main process of a benchmark or a test.
+"""
 
 import base64
 import contextlib
@@ -10,11 +13,11 @@
 from bench import deployments
 from bench import processes
 
-_TIMEOUT_SECONDS = 5.0
+_REQUEST_TIMEOUT_SECONDS = 5.0
 
 
-class Answer:
-    """A status and a body."""
+class Response:
+    """The status and body of an HTTP response."""
 
     __slots__ = ('status', 'body')
 
@@ -23,41 +26,45 @@
         self.body = body
 
     def read_json(self) -> typing.Any:
-        """Return the body, parsed."""
+        """Return the body parsed as JSON."""
         return json.loads(self.body)
 
 
 def get(
     address: str, path: str, *, headers: dict[str, str] | None = None
-) -> Answer:
-    """Return the answer to a GET."""
-    return _ask(address, 'GET', path, None, headers or {})
+) -> Response:
+    """Send a GET request and return the response."""
+    return _send_request(address, 'GET', path, None, headers or {})
 
 
 def sign_in(operator: str) -> dict[str, str]:
-    """Return the headers of an operator of the examples."""
-    pair = f'{operator}:{deployments.read_password(operator)}'
-    token = base64.b64encode(pair.encode()).decode()
+    """Return Basic authentication headers for an operator of the examples."""
+    credentials = f'{operator}:{deployments.read_password(operator)}'
+    token = base64.b64encode(credentials.encode()).decode()
     return {'Authorization': f'Basic {token}'}
 
 
-def post(address: str, path: str, values: object) -> Answer:
-    """Return the answer to a POST of a JSON value."""
-    return _ask(address, 'POST', path, json.dumps(values).encode(), {})
+def post(address: str, path: str, values: object) -> Response:
+    """Send a POST request with a JSON value and return the response."""
+    return _send_request(
+        address, 'POST', path, json.dumps(values).encode(), {}
+    )
 
 
-def _ask(
+def _send_request(
     address: str,
     method: str,
     path: str,
     body: bytes | None,
     headers: dict[str, str],
-) -> Answer:
-    connection = http.client.HTTPConnection(address, timeout=_TIMEOUT_SECONDS)
+) -> Response:
+    connection = http.client.HTTPConnection(
+        address, timeout=_REQUEST_TIMEOUT_SECONDS
+    )
     try:
         connection.request(method, path, body, headers)
         response = connection.getresponse()
-        return Answer(response.status, response.read())
+        return Response(response.status, response.read())
     finally:
         connection.close()
 
@@ -69,16 +76,16 @@
     module: str,
     *arguments: str,
 ) -> 'StandIn':
-    """Start a stand-in as a process that ends with the stack.
+    """Start a stand-in as a process that the exit stack ends.
 
     Parameters
     ----------
     stack : ExitStack
-        Owns the process.
+        Ends the process when it is closed.
     folder, name : Path and str
-        Where its output goes, and the output file's name.
+        Folder of the output file, and its name without the suffix.
     module : str
-        Of `standins`.
+        Name of the module within `standins`.
     """
     command = processes.build_python_command(
         f'standins.{module}', '--port', '0', *arguments
@@ -90,7 +97,7 @@
 
 
 class StandIn:
-    """A stand-in that runs as a process of its own."""
+    """A stand-in that runs as a separate process."""
 
     __slots__ = ('process', 'address')
 
@@ -99,18 +106,25 @@
         self.address = f'127.0.0.1:{process.wait_for_port()}'
 
     def order(self, path: str, **values: object) -> typing.Any:
-        """Post an order; return the answer's JSON value."""
+        """Post a control request and return the response's JSON value.
+
+        Raises
+        ------
+        processes.ProcessFailed
+            The response's status is not 200.
+        """
         answer = post(self.address, path, values)
         if answer.status != 200:
             raise processes.ProcessFailed(
-                f'{self.process.name} refused {path}: {answer.body!r}'
+                f'{self.process.name} rejected the control request '
+                f'{path}: {answer.body!r}'
             )
         return answer.read_json()
 
     def fail(self, mode: str, **values: object) -> None:
-        """Order a fault; the mode `ok` or `up` ends it."""
+        """Set a fault mode; the mode `ok` or `up` ends the fault."""
         self.order('/standin/faults', mode=mode, **values)
 
     def read_stats(self) -> dict[str, typing.Any]:
-        """Return its counters."""
+        """Return the counters of the stand-in."""
         return get(self.address, '/standin/stats').read_json()
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,10 +1,12 @@
-"""A demonstration that ends by itself: a small fleet under uneven load.
+"""A short demonstration: a small fleet of routers under uneven load.
 
     make demo
 
-Three routers, two stand-in engines, a stand-in key-value service and list of
-instances, all on loopback. Four client accounts ask for more than there is:
-one through a single router, one through all of them, one floods a router.
+Starts three routers, two stand-in engines and a stand-in key-value service,
+which also holds the list of instances, all on loopback. Four client accounts
+demand more than the engines' capacity: one through a single router, one
+through all routers, one floods a single router and one uses the second and
+third router. The program ends by itself.
 """
 
 import pathlib
@@ -25,7 +27,7 @@
 _SECONDS = 20.0
 _WARM_UP_SECONDS = 2.0
 _SERVICE = 'chat'
-# Between failure domains, one way, as the users have it.
+# One-way delay between failure domains, as in the users' deployments.
 _DELAY_SECONDS = 0.0015
 _MEAN_TOKENS = (60, 120, 200, 120)
 _MOST_TOKENS = 1000
@@ -33,14 +35,20 @@
 
 
 def build_traffics(entries: list[str]) -> list[plans.Traffic]:
-    """Return what the four accounts send."""
-    asked = ([entries[0]], entries, [entries[1]], entries[1:])
+    """Return the traffic of the four client accounts.
+
+    Parameters
+    ----------
+    entries : list of str
+        Addresses of the routers.
+    """
+    account_entries = ([entries[0]], entries, [entries[1]], entries[1:])
     return [
         plans.Traffic(
             account=f'account-{index + 1}',
             key=deployments.read_key(f'account-{index + 1}'),
             service=_SERVICE,
-            entries=asked[index],
+            entries=account_entries[index],
             callers=_CALLERS[index],
             mean_tokens=_MEAN_TOKENS[index],
             least_tokens=10,
@@ -55,37 +63,41 @@
     series: figures.ServiceSeries,
     traffics: typing.Sequence[plans.Traffic],
 ) -> None:
-    """Print what each account asked for and got."""
+    """Print the demand and the received service of each account."""
     table = tables.Table(
         'account',
-        'asks through',
+        'routers used',
         'callers',
-        'share asked',
-        'share got',
+        'share due',
+        'share received',
         'tokens',
-        'whole answers',
+        'complete answers',
         'refused',
         'first token p95',
     )
-    gained = series.served[:, -1] - series.served[:, 0]
+    received = series.served[:, -1] - series.served[:, 0]
     for index, traffic in enumerate(traffics):
-        own = [
+        account_records = [
             record
             for record in observation.records
             if record.account == traffic.account
         ]
         first = figures.Percentiles(
-            [each.first - each.start for each in own if each.first is not None]
+            [
+                each.first - each.start
+                for each in account_records
+                if each.first is not None
+            ]
         )
         table.add(
             traffic.account,
             f'{len(traffic.entries)} router(s)',
             traffic.callers,
             f'{series.shares[index] / series.shares.sum():.1%}',
-            f'{gained[index] / gained.sum():.1%}',
-            float(gained[index]),
-            sum(each.outcome == records.DONE for each in own),
-            sum(each.outcome == records.REFUSED for each in own),
+            f'{received[index] / received.sum():.1%}',
+            float(received[index]),
+            sum(each.outcome == records.DONE for each in account_records),
+            sum(each.outcome == records.REFUSED for each in account_records),
             f'{first.p95:.2f} s',
         )
     print(table.render())
@@ -97,42 +109,54 @@
     sampler: sampling.Sampler,
     rate: sampling.ControlRate,
 ) -> None:
-    """Print the three measures, and whether every answer was whole."""
+    """Print the three measures and the count of answers by outcome."""
     gap = figures.compute_fairness_gap(series)
     occupancy = sampler.build_occupancy(series, observation.start)
-    used = figures.compute_utilisation([occupancy])
+    utilisation = figures.compute_utilisation([occupancy])
     outcomes = figures.count_outcomes(observation)
     names = ' and '.join(gap.accounts)
     print(f'fairness gap: {gap.tokens:,.0f} tokens, between {names}')
-    share = 'no work waited' if used is None else f'{used:.1%}'
-    print(f'utilisation while work waits: {share}')
-    print(f'control traffic: {_describe_rate(rate)}')
+    share = (
+        'no request waited' if utilisation is None else f'{utilisation:.1%}'
+    )
+    print(f'utilisation while requests wait: {share}')
+    print(f'control traffic: {_format_rate(rate)}')
     print(
-        f'answers: {outcomes[records.DONE]} whole, '
+        f'answers: {outcomes[records.DONE]} complete, '
         f'{outcomes[records.WRONG]} wrong, {outcomes[records.FAILED]} '
-        f'failed, {outcomes[records.STOPPED]} stopped by the end'
+        f'failed, {outcomes[records.STOPPED]} cancelled at the end of the run'
     )
 
 
-def _describe_rate(rate: sampling.ControlRate) -> str:
+def _format_rate(rate: sampling.ControlRate) -> str:
     if rate.bytes_per_second is None:
-        return 'no router told'
+        return 'no router reported its counters'
     text = f'{rate.bytes_per_second:,.0f} bytes/s'
     if rate.messages_per_second is not None:
         text += f' and {rate.messages_per_second:,.0f} messages/s'
-    return f'{text} an instance'
+    return f'{text} per instance'
 
 
 def run_demo() -> int:
-    """Run it; return 0 if every answer that ended was whole."""
+    """Run the demonstration and print its results.
+
+    Returns
+    -------
+    int
+        The exit code: 0 if at least one answer was complete and none was
+        wrong, 1 otherwise.
+    """
     deployment = deployments.build_small_deployment()
     deployment.delay_seconds = _DELAY_SECONDS
     started = time.monotonic()
-    print('starting 3 routers, 2 engines, 1 plain service and the platform')
+    print(
+        'starting 3 routers, 2 engines, 1 plain service and the key-value '
+        'service'
+    )
     with fleet_module.Fleet(deployment, _FOLDER, through_proxy=True) as fleet:
         entries = [router.callers for router in fleet.routers.values()]
         plan = plans.Plan(traffics=build_traffics(entries), seconds=_SECONDS)
-        print(f'4 client accounts ask for {_SECONDS:.0f} seconds')
+        print(f'4 client accounts send requests for {_SECONDS:.0f} seconds')
         with (
             load_module.Load(plan, _FOLDER) as load,
             sampling.Sampler(fleet, _SERVICE) as sampler,
@@ -144,10 +168,13 @@
             observation,
             deployment.read_shares(_SERVICE),
             service_seconds=fleet.step_seconds,
-        ).cut(_WARM_UP_SECONDS, _SECONDS)
+        ).select_period(_WARM_UP_SECONDS, _SECONDS)
     print_accounts(observation, series, plan.traffics)
     print_measures(observation, series, sampler, rate)
-    print(f'it took {time.monotonic() - started:.0f} s; logs are in {_FOLDER}')
+    print(
+        f'finished in {time.monotonic() - started:.0f} s; '
+        f'logs are in {_FOLDER}'
+    )
     outcomes = figures.count_outcomes(observation)
     return 1 if outcomes[records.WRONG] or not outcomes[records.DONE] else 0
 
--- a/bench/deployments.py
+++ b/bench/deployments.py
@@ -1,4 +1,4 @@
-"""Deployments: the places, services and accounts that the bench starts."""
+"""Deployments: the failure domains, services and accounts of a benchmark."""
 
 import copy
 import hashlib
@@ -7,28 +7,29 @@
 import typing
 
 _EXAMPLES = pathlib.Path(__file__).resolve().parent.parent / 'examples'
-# The stand-in engines generate so many tokens at once, so often: 200 tokens
-# a second for each stream, about six times what an engine does, so that a
-# run of half a minute stands for three.
+# A stand-in engine generates TOKENS_PER_STEP tokens for each stream every
+# STEP_SECONDS: 200 tokens a second for each stream. That is about six times
+# the rate of a real engine, so a run of half a minute corresponds to three
+# minutes.
 TOKENS_PER_STEP = 10
 STEP_SECONDS = 0.05
 PLAIN_WORK_SECONDS = 0.02
 
-Values = dict[str, list[dict[str, typing.Any]]]
+Document = dict[str, list[dict[str, typing.Any]]]
 
 
 class Deployment:
-    """What one user runs.
+    """The configuration document and the routers of one user.
 
     Parameters
     ----------
     name : str
-        Names folders and rows of tables.
-    document : Values
-        The configuration document; its backend servers' addresses are
-        replaced by those of the stand-ins.
+        Identifies the deployment in folder names and table rows.
+    document : Document
+        The configuration document. `bench.fleet` replaces the addresses of
+        its backend servers by those of the stand-ins.
     routers : int
-        How many entry instances, spread evenly over the failure domains.
+        Number of router instances, spread evenly over the failure domains.
     delay_seconds : float
         One-way delay between instances.
     """
@@ -38,7 +39,7 @@
     def __init__(
         self,
         name: str,
-        document: Values,
+        document: Document,
         *,
         routers: int,
         delay_seconds: float = 0.0,
@@ -50,10 +51,10 @@
 
     @property
     def region(self) -> str:
-        """The region of all its failure domains."""
+        """The region of the deployment, which all failure domains share."""
         return self.document['failure_domains'][0]['region']
 
-    def place(self, index: int) -> str:
+    def pick_failure_domain(self, index: int) -> str:
         """Return the failure domain of the router with this index."""
         domains = self.document['failure_domains']
         return domains[index % len(domains)]['name']
@@ -97,7 +98,7 @@
                 kind.update(fields)
 
     def copy(self) -> 'Deployment':
-        """Return one that can be changed without changing this one."""
+        """Return an independent copy, including the document."""
         return Deployment(
             self.name,
             copy.deepcopy(self.document),
@@ -117,9 +118,9 @@
 
 
 def read_deployment(name: str, *, routers: int = 8) -> Deployment:
-    """Return a deployment of the brief, `patrimonio` or `consorcio`."""
+    """Return the example deployment `patrimonio` or `consorcio`."""
     text = (_EXAMPLES / name / 'document.toml').read_text(encoding='utf-8')
-    # Failure domains are a millisecond and a half apart one way.
+    # The one-way delay between failure domains is 1.5 milliseconds.
     return Deployment(
         name, tomllib.loads(text), routers=routers, delay_seconds=0.0015
     )
@@ -130,10 +131,11 @@
 ) -> Deployment:
     """Return a small deployment for demonstrations and tests.
 
-    The shares of its accounts, `account-1` and on, are 1, 2, 3 and so on.
+    The accounts `account-1`, `account-2` and so on have the shares 1, 2, 3
+    and so on.
     """
     shares = range(1, accounts + 1)
-    document: Values = {
+    document: Document = {
         'failure_domains': [
             {'name': name, 'region': 'region-1'}
             for name in ('domain-a', 'domain-b')
@@ -166,14 +168,18 @@
         ],
         'client_accounts': [_build_account(share) for share in shares],
         'operators': [
-            {'name': 'operator', 'role': 'editor', 'password': _PASSWORD}
+            {
+                'name': 'operator',
+                'role': 'editor',
+                'password': _OPERATOR_PASSWORD_HASH,
+            }
         ],
     }
     return Deployment('small', document, routers=routers)
 
 
-# The hash of `read_password('operator')`, out of the example documents.
-_PASSWORD = (
+# Hash of `read_password('operator')`, copied from the example documents.
+_OPERATOR_PASSWORD_HASH = (
     'scrypt:32768:8:1$Q3cUFnNP$e7ffc02532ef2a6f400f10f73e9dace20e8829bd8c5f2e'
     '48d8142cd46bf0f6512eefb2c390c35e2dc55db296a570f91904791c701d5722ec5a34f0'
     'c7e571d1a6'
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,8 +1,8 @@
-"""Faults: what goes wrong with a fleet while a load runs.
+"""Faults that are injected into a fleet while a load runs.
 
-Each fault is a function of the fleet, the load and the service that the load
-is for. It returns when the fault is over; all but the last one end by
-themselves within the load's time.
+Each fault is a function of the fleet, the load and the service that receives
+the load. The function returns when the fault has ended. Every fault except
+the rolling replacement ends within the duration of its load.
 """
 
 import time
@@ -22,26 +22,28 @@
 
 
 class Fault:
-    """A fault's name, what it does, and what its run needs.
+    """A fault's name, the function that injects it and its run's options.
 
     Parameters
     ----------
     name : str
-        As tables and `--scenario` name it.
-    act : callable
-        See the module.
+        Name in tables and for the option `--scenario`.
+    inject : callable
+        Injects the fault and returns when it has ended. Called with the
+        fleet, the load and the name of the service.
     seconds : float
-        How long its load runs.
+        Duration of the load.
     stale_list : bool
-        Whether the platform's list is minutes behind in its run.
+        Whether the platform's list of instances contains an entry of an
+        instance that has ended.
     """
 
-    __slots__ = ('name', 'act', 'seconds', 'stale_list')
+    __slots__ = ('name', 'inject', 'seconds', 'stale_list')
 
     def __init__(
         self,
         name: str,
-        act: typing.Callable[
+        inject: typing.Callable[
             [fleet_module.Fleet, load_module.Load, str], None
         ],
         *,
@@ -49,7 +51,7 @@
         stale_list: bool = False,
     ) -> None:
         self.name = name
-        self.act = act
+        self.inject = inject
         self.seconds = seconds
         self.stale_list = stale_list
 
@@ -57,7 +59,7 @@
 def find_dispatcher(
     fleet: fleet_module.Fleet, service: str, *, policy: str = 'fleet'
 ) -> str:
-    """Return the router that dispatches for most engines of a service."""
+    """Return the router that dispatches for the most engines of a service."""
     policies = {
         'fleet': ownership.FleetPolicy(),
         'single': ownership.SinglePolicy(),
@@ -75,10 +77,10 @@
 
 
 def _wait_until(load: load_module.Load, seconds: float) -> None:
-    time.sleep(max(0.0, seconds - load.measure_time()))
+    time.sleep(max(0.0, seconds - load.read_elapsed_seconds()))
 
 
-def _bring_back(fleet: fleet_module.Fleet, name: str) -> None:
+def _restart_router(fleet: fleet_module.Fleet, name: str) -> None:
     fleet.restart(name)
     fleet.wait_until_ready([name])
 
@@ -86,28 +88,31 @@
 def kill_router(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Crash a router that owns few engines; start it without memory."""
+    """Crash a router other than the main dispatcher and restart it.
+
+    The restarted process has none of its earlier state.
+    """
     dispatcher = find_dispatcher(fleet, service)
     name = next(each for each in fleet.routers if each != dispatcher)
     fleet.kill(name)
     time.sleep(_DOWN_SECONDS)
-    _bring_back(fleet, name)
+    _restart_router(fleet, name)
 
 
 def kill_dispatcher(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Crash the router that dispatches for most engines."""
+    """Crash and restart the router that dispatches for the most engines."""
     name = find_dispatcher(fleet, service)
     fleet.kill(name)
     time.sleep(_FAULT_SECONDS)
-    _bring_back(fleet, name)
+    _restart_router(fleet, name)
 
 
 def pause_dispatcher(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Freeze a dispatcher for longer than its peers wait; let it go on."""
+    """Pause a dispatcher for longer than its peers wait, then resume it."""
     name = find_dispatcher(fleet, service)
     fleet.pause(name)
     time.sleep(_PAUSE_SECONDS)
@@ -117,19 +122,19 @@
 def partition_halves(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Cut the fleet into halves and join them again."""
+    """Partition the fleet into two halves, then heal the partition."""
     fleet.network.partition(list(fleet.routers)[::2])
     time.sleep(_FAULT_SECONDS)
     fleet.network.heal()
 
 
-def lose_one_way(
+def drop_one_way(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Lose what a dispatcher sends to one peer, but not the reverse."""
+    """Drop what a dispatcher sends to one peer, but not the reverse."""
     name = find_dispatcher(fleet, service)
-    other = next(each for each in fleet.routers if each != name)
-    fleet.network.lose(name, other)
+    peer = next(each for each in fleet.routers if each != name)
+    fleet.network.lose(name, peer)
     time.sleep(_FAULT_SECONDS)
     fleet.network.heal()
 
@@ -137,37 +142,37 @@
 def slow_link(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Delay all that a dispatcher sends and receives by 0.2 s one way."""
+    """Delay a dispatcher's messages by 0.2 s in each direction."""
     name = find_dispatcher(fleet, service)
     fleet.network.slow(name, _SLOW_SECONDS)
     time.sleep(_FAULT_SECONDS)
     fleet.network.delay(fleet.deployment.delay_seconds)
 
 
-def list_behind(
+def restart_with_stale_list(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Crash and restart a router while the store lists one that ended.
+    """Crash and restart a router while the store lists an ended instance.
 
-    An entry lasts ten minutes: it names an instance that is long gone, and
-    those that start try it as well.
+    An entry expires after ten minutes. Until then it lists an instance that
+    has ended, and routers that start try to connect to that instance too.
     """
     kill_dispatcher(fleet, load, service)
 
 
-def lose_key_value(
+def stop_key_value(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Take the key-value service down until the load is over."""
+    """Make the key-value service unavailable until the load ends."""
     fleet.key_value.fail('down')
     _wait_until(load, load.plan.seconds)
     fleet.key_value.fail('up')
 
 
-def lose_key_value_and_dispatcher(
+def stop_key_value_and_dispatcher(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Two at once: no key-value service, and a dispatcher restarts."""
+    """Crash and restart a dispatcher while the key-value service is down."""
     fleet.key_value.fail('down')
     kill_dispatcher(fleet, load, service)
     fleet.key_value.fail('up')
@@ -176,7 +181,7 @@
 def partition_twice(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Cut the fleet into halves two times in a row."""
+    """Partition the fleet into two halves twice in a row."""
     for _ in range(2):
         fleet.network.partition(list(fleet.routers)[::2])
         time.sleep(_FAULT_SECONDS / 2)
@@ -184,16 +189,22 @@
         time.sleep(_FAULT_SECONDS / 4)
 
 
-def replace_all(
+def replace_routers(
     fleet: fleet_module.Fleet, load: load_module.Load, service: str
 ) -> None:
-    """Stop every router gracefully, one after the other, and start it."""
+    """Stop and restart every router gracefully, one after the other.
+
+    Raises
+    ------
+    RuntimeError
+        A router did not exit with code 0.
+    """
     for name in fleet.routers:
         fleet.begin_stop(name)
         code = fleet.routers[name].process.wait(_STOP_TIMEOUT_SECONDS)
         if code != 0:
             raise RuntimeError(f'{name} stopped with exit code {code}')
-        _bring_back(fleet, name)
+        _restart_router(fleet, name)
 
 
 FAULTS = (
@@ -201,11 +212,11 @@
     Fault('dispatcher_killed', kill_dispatcher),
     Fault('dispatcher_paused', pause_dispatcher),
     Fault('partition', partition_halves),
-    Fault('one_way_loss', lose_one_way),
+    Fault('one_way_loss', drop_one_way),
     Fault('slow_link', slow_link),
-    Fault('list_behind', list_behind, stale_list=True),
-    Fault('key_value_down', lose_key_value),
-    Fault('key_value_and_dispatcher', lose_key_value_and_dispatcher),
+    Fault('list_behind', restart_with_stale_list, stale_list=True),
+    Fault('key_value_down', stop_key_value),
+    Fault('key_value_and_dispatcher', stop_key_value_and_dispatcher),
     Fault('partition_twice', partition_twice),
-    Fault('rolling_replacement', replace_all, seconds=75.0),
+    Fault('rolling_replacement', replace_routers, seconds=75.0),
 )
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures: the measures of a run, from what its load tool saw.
+"""Computation of a run's measures from the load tool's observation.
 
 The fairness gap follows the definition of "Fairness in Serving Large
 Language Models" (OSDI 2024): for two client accounts and any interval in
@@ -28,11 +28,11 @@
     accounts : sequence of str, length A
         The accounts' names.
     shares : array of float, length A
-        What each account's service is divided by.
+        The weights by which the accounts' service is divided.
     served : array of float, A by T
         Tokens delivered since the run's start.
     backlogged : array of bool, A by T
-        Whether the account had a request queued throughout the step.
+        Whether the account had requests queued throughout the step.
     """
 
     __slots__ = ('times', 'accounts', 'shares', 'served', 'backlogged')
@@ -52,7 +52,7 @@
         self.served = served
         self.backlogged = backlogged
 
-    def cut(self, start: float, end: float) -> 'ServiceSeries':
+    def select_period(self, start: float, end: float) -> 'ServiceSeries':
         """Return the steps that end within [start, end] seconds."""
         kept = (self.times >= start) & (self.times <= end)
         return ServiceSeries(
@@ -64,8 +64,12 @@
         )
 
 
-class Gap:
-    """The largest difference of service, and where it was."""
+class FairnessGap:
+    """The largest difference of service, and the accounts and interval of it.
+
+    `tokens` is the difference of the service divided by the shares, `start`
+    and `end` are seconds since the run's start.
+    """
 
     __slots__ = ('tokens', 'accounts', 'start', 'end')
 
@@ -108,31 +112,31 @@
     Parameters
     ----------
     observation : Observation
-        What the load tool saw.
+        The observation of the load tool.
     shares : dict of str to float
         The share of each account.
     service_seconds : float
-        Time from a slot's grant to the first token on an idle engine: the
-        last part of a request's wait for its first token, in which it was
-        no longer queued.
+        Time from a slot's grant to the first token on an idle engine. The
+        request is no longer queued during this time, so it is subtracted
+        from the wait for the first token.
     """
     steps = int(round(observation.seconds / observation.step_seconds))
     times = (numpy.arange(steps) + 1) * observation.step_seconds
     names = sorted(shares)
     served = numpy.zeros((len(names), steps))
     backlogged = numpy.zeros((len(names), steps), dtype=bool)
-    queued = _collect_queued_times(observation, service_seconds)
+    queued = _collect_queued_intervals(observation, service_seconds)
     for row, name in enumerate(names):
         delivery = observation.deliveries.get(name)
         for step, tokens in delivery.steps.items() if delivery else ():
             if 0 <= step < steps:
                 served[row, step] += tokens
         for begin, end in _merge_intervals(queued.get(name, [])):
-            # A step counts only if the account was backlogged from its first
-            # moment to its last one.
+            # A step counts only if the account was backlogged during the
+            # whole step.
             first = max(0, math.ceil(begin / observation.step_seconds))
-            past = max(0, math.floor(end / observation.step_seconds))
-            backlogged[row, first:past] = True
+            end_step = max(0, math.floor(end / observation.step_seconds))
+            backlogged[row, first:end_step] = True
     return ServiceSeries(
         times=times,
         accounts=names,
@@ -142,10 +146,13 @@
     )
 
 
-def _collect_queued_times(
+def _collect_queued_intervals(
     observation: records_module.Observation, service_seconds: float
 ) -> dict[str, list[tuple[float, float]]]:
-    """Return when each account's requests were queued, since the start."""
+    """Return the intervals in which each account's requests were queued.
+
+    Intervals are pairs of seconds since the run's start.
+    """
     times: dict[str, list[tuple[float, float]]] = {}
     for record in observation.records:
         if record.first is not None:
@@ -165,7 +172,7 @@
 def _merge_intervals(
     intervals: list[tuple[float, float]],
 ) -> list[tuple[float, float]]:
-    """Return the union of intervals, as intervals that do not touch."""
+    """Return the union of intervals as disjoint, sorted intervals."""
     merged: list[tuple[float, float]] = []
     for begin, end in sorted(intervals):
         if merged and begin <= merged[-1][1]:
@@ -175,71 +182,73 @@
     return merged
 
 
-def compute_fairness_gap(series: ServiceSeries) -> Gap:
+def compute_fairness_gap(series: ServiceSeries) -> FairnessGap:
     """Return the largest gap over all pairs and common backlogged intervals.
 
-    Let D be the difference of the two accounts' normalised service. Over the
-    sub-intervals of one stretch in which both are backlogged, the largest
-    |D(t2) - D(t1)| is the stretch's greatest D less its least, so that one
-    pass over each stretch is enough.
+    Let D be the difference of the two accounts' normalised service. Within
+    one stretch of steps in which both are backlogged, the largest
+    |D(t2) - D(t1)| of any sub-interval is the maximum of D minus its minimum,
+    so one pass over each stretch is sufficient.
     """
     normalised = series.served / series.shares[:, None]
-    worst = Gap()
+    largest_gap = FairnessGap()
     for first, second in itertools.combinations(range(len(normalised)), 2):
         both = series.backlogged[first] & series.backlogged[second]
         difference = normalised[first] - normalised[second]
-        for begin, end in _find_stretches(both):
-            # The step before the stretch ends where the stretch begins.
+        for begin, end in _find_true_runs(both):
+            # Include the value at the end of the step before the stretch,
+            # which is the value at the start of the stretch.
             inside = difference[max(begin - 1, 0) : end]
             spread = float(inside.max() - inside.min())
-            if spread > worst.tokens:
+            if spread > largest_gap.tokens:
                 names = (series.accounts[first], series.accounts[second])
-                worst = Gap(
+                largest_gap = FairnessGap(
                     spread,
                     names,
                     float(series.times[begin]),
                     float(series.times[end - 1]),
                 )
-    return worst
+    return largest_gap
 
 
 def compute_gap_bound(
     *, largest_tokens: float, slots: int, shares: typing.Sequence[float]
 ) -> float:
-    """Return the worst case of the gap, whatever the sizes and estimates.
+    """Return the upper bound of the fairness gap.
 
-    An account that is ahead gets no further slot, so that it gains at most
-    what its requests in progress still deliver. In the worst case these
-    hold all slots and are of the largest size.
+    The bound holds for any request sizes and any estimates. An account that
+    is ahead is granted no further slots, so it gains at most what its
+    requests in progress still deliver. In the worst case these requests
+    occupy all slots and have the largest size.
 
     Parameters
     ----------
     largest_tokens : float
-        Size of the largest request.
+        Size of the largest request, in tokens.
     slots : int
-        Slots of the whole service.
+        Number of slots of all backend servers of the service.
     shares : sequence of float
         The shares of the accounts.
     """
     return slots * largest_tokens / min(shares)
 
 
-def _find_stretches(flags: numpy.ndarray) -> list[tuple[int, int]]:
-    """Return each run of true flags as its first index and its end."""
+def _find_true_runs(flags: numpy.ndarray) -> list[tuple[int, int]]:
+    """Return each run of true flags as its first index and exclusive end."""
     padded = numpy.concatenate(([False], flags, [False]))
     edges = numpy.flatnonzero(padded[1:] != padded[:-1])
     return list(zip(edges[::2].tolist(), edges[1::2].tolist(), strict=True))
 
 
 class Occupancy:
-    """Slots of one service over time, sampled.
+    """Samples of the slots of one service over time.
 
     Parameters
     ----------
     busy, slots : array of float, length T
-        Slots in use, and slots that could be used.
+        Slots in use, and slots available.
     waiting : array of bool, length T
-        Whether a request that may use any of them was queued.
+        Whether a request that may use any of the slots was queued.
     """
 
     __slots__ = ('busy', 'slots', 'waiting')
@@ -255,9 +264,9 @@
 def compute_utilisation(
     occupancies: typing.Iterable[Occupancy],
 ) -> float | None:
-    """Return busy slot time over available slot time while work waited.
+    """Return busy slot time divided by slot time while requests waited.
 
-    None where no work ever waited.
+    Returns None if no request ever waited.
     """
     busy, available = 0.0, 0.0
     for each in occupancies:
@@ -268,7 +277,7 @@
 
 
 def compute_goodput(observation: records_module.Observation) -> float:
-    """Return tokens a second of answers that came whole within the run."""
+    """Return the tokens a second of answers completed within the run."""
     last = observation.start + observation.seconds
     tokens = sum(
         record.tokens
@@ -281,7 +290,7 @@
 def count_refusals(
     observation: records_module.Observation,
 ) -> collections.Counter[str]:
-    """Return the count of refused requests by reason."""
+    """Return the number of refused requests by reason."""
     return collections.Counter(
         record.reason
         for record in observation.records
@@ -292,19 +301,19 @@
 def count_failures(
     observation: records_module.Observation,
 ) -> collections.Counter[str]:
-    """Return the count of answers that were not whole, by reason."""
-    broken = (records_module.FAILED, records_module.WRONG)
+    """Return the number of failed and wrong answers by outcome and reason."""
+    unsuccessful_outcomes = (records_module.FAILED, records_module.WRONG)
     return collections.Counter(
         f'{record.outcome}: {record.reason}'
         for record in observation.records
-        if record.outcome in broken
+        if record.outcome in unsuccessful_outcomes
     )
 
 
 def count_outcomes(
     observation: records_module.Observation,
 ) -> collections.Counter[str]:
-    """Return the count of requests by how they ended."""
+    """Return the number of requests by outcome."""
     return collections.Counter(
         record.outcome for record in observation.records
     )
@@ -313,7 +322,7 @@
 def compute_first_token(
     observation: records_module.Observation,
 ) -> Percentiles:
-    """Return percentiles of the time from sending to the first token."""
+    """Return the percentiles of the time from sending to the first token."""
     return Percentiles(
         [
             record.first - record.start
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,10 +1,10 @@
-"""A whole deployment on loopback, as real processes.
+"""A complete deployment on loopback, run as real processes.
 
     with fleet.Fleet(deployment, folder) as running:
         running.kill('router-1')
 
-An exit stack owns every process; each is ended by its own id. What a process
-prints goes into a file in the folder.
+An exit stack ends every process by its process id. The output of each process
+goes to a file in the folder.
 """
 
 import contextlib
@@ -23,12 +23,15 @@
 
 _HOST = '127.0.0.1'
 _START_ATTEMPTS = 3
-_READY_SECONDS = 60.0
+_READY_TIMEOUT_SECONDS = 60.0
 _POLL_SECONDS = 0.05
 
 
 class Router:
-    """One instance: its place, its three addresses and its process."""
+    """One router: its failure domain, three addresses and process.
+
+    The addresses are those for callers, operators and peers.
+    """
 
     __slots__ = (
         'name',
@@ -51,25 +54,26 @@
 
 
 class Fleet:
-    """Stand-ins and routers of one deployment.
+    """The stand-ins and routers of one deployment.
 
     Parameters
     ----------
     deployment : Deployment
-        What to start. Its document is not changed.
+        The deployment to start. Its document is not changed.
     folder : pathlib.Path
-        For settings, the document and output files; made if need be.
+        For settings, the document and output files; created if missing.
     policy : str
         The setting `dispatch.policy` of every router.
     settings : dict
-        Sections with settings that differ from the defaults.
+        Settings that override the defaults, by section.
     through_proxy : bool
-        Whether the routers reach each other through a proxy that delays by
-        the deployment's delay and can cut them off.
+        Whether the routers connect to each other through a proxy that adds
+        the deployment's delay and can drop or cut their connections.
     step_seconds, tokens_per_step : float, int
-        The pace of the engines.
+        Each engine generates `tokens_per_step` tokens for each stream every
+        `step_seconds` seconds.
     stale_list : bool
-        Whether the platform's store still lists an instance that ended.
+        Whether the platform's store lists an instance that has ended.
     """
 
     __slots__ = (
@@ -184,8 +188,9 @@
                     self._stack.push(stack.pop_all())
                     return
             except processes.ProcessFailed:
-                # A clash of ports, if any, goes away with other ports;
-                # another failure shows itself again.
+                # Another process may have taken a port, so the routers are
+                # started again with other ports. A failure with another
+                # cause recurs and is raised after the last attempt.
                 if attempt == _START_ATTEMPTS - 1:
                     raise
 
@@ -198,18 +203,18 @@
             name = f'router-{index + 1}'
             self.routers[name] = Router(
                 name,
-                self.deployment.place(index),
+                self.deployment.pick_failure_domain(index),
                 ports[3 * index : 3 * index + 3],
             )
         if self._stale_list:
-            self._list_ended_router()
+            self._write_stale_entry()
 
-    def _list_ended_router(self) -> None:
-        some = next(iter(self.routers.values()))
+    def _write_stale_entry(self) -> None:
+        first_router = next(iter(self.routers.values()))
         value = {
-            # Port 9 (discard): nothing listens there.
+            # Nothing listens on port 9 (the discard service).
             'address': f'{_HOST}:9',
-            'failure_domain': some.failure_domain,
+            'failure_domain': first_router.failure_domain,
             'region': self.deployment.region,
         }
         self.key_value.order(
@@ -235,7 +240,7 @@
     def build_settings(
         self, router: Router
     ) -> dict[str, dict[str, typing.Any]]:
-        """Return the settings of one router, section by section."""
+        """Return the settings of one router, by section."""
         sections: dict[str, dict[str, typing.Any]] = {
             'instance': {
                 'name': router.name,
@@ -274,7 +279,18 @@
     # -- configuration ----------------------------------------------------
 
     def submit(self, *, base: int) -> None:
-        """Submit the deployment's document by the command line."""
+        """Submit the deployment's document through the command line.
+
+        Parameters
+        ----------
+        base : int
+            The configuration version that the document replaces.
+
+        Raises
+        ------
+        processes.ProcessFailed
+            The command did not exit with code 0.
+        """
         path = self.folder / 'document.json'
         path.write_text(json.dumps(self.deployment.document, indent=1))
         settings = next(iter(self.routers))
@@ -290,14 +306,25 @@
         submission = processes.Process('submit', command, self.folder)
         self._stack.callback(submission.close)
         submission.start()
-        if submission.wait(_READY_SECONDS) != 0:
+        if submission.wait(_READY_TIMEOUT_SECONDS) != 0:
             raise processes.ProcessFailed(submission.read_output())
 
     def wait_until_ready(
         self, routers: typing.Iterable[str] | None = None
     ) -> None:
-        """Wait until the routers say that they are ready for callers."""
-        end = time.monotonic() + _READY_SECONDS
+        """Wait until the routers accept callers' requests.
+
+        Parameters
+        ----------
+        routers : iterable of str or None
+            Names of the routers; all by default.
+
+        Raises
+        ------
+        processes.ProcessFailed
+            A router ended, or was not ready in time.
+        """
+        end = time.monotonic() + _READY_TIMEOUT_SECONDS
         for name in routers or self.routers:
             router = self.routers[name]
             while not self.is_ready(name):
@@ -309,7 +336,7 @@
                 time.sleep(_POLL_SECONDS)
 
     def is_ready(self, name: str) -> bool:
-        """Return whether a router takes callers' requests."""
+        """Return whether a router accepts callers' requests."""
         account = self.deployment.document['client_accounts'][0]['name']
         headers = {'Authorization': f'Bearer {deployments.read_key(account)}'}
         try:
@@ -323,21 +350,21 @@
     # -- faults -----------------------------------------------------------
 
     def kill(self, name: str) -> None:
-        """Crash a router."""
+        """Kill a router, as a crash does."""
         self.routers[name].process.kill()
 
     def restart(self, name: str) -> None:
-        """Start a router that ended, with the same settings."""
+        """Restart a router that has ended, with the same settings."""
         router = self.routers[name]
         router.process.start()
         router.process.wait_for_listener(router.callers)
 
     def pause(self, name: str) -> None:
-        """Freeze a router."""
+        """Suspend a router's process."""
         self.routers[name].process.pause()
 
     def resume(self, name: str) -> None:
-        """Let a frozen router go on."""
+        """Continue a suspended router's process."""
         self.routers[name].process.resume()
 
     def stop(self, name: str, *, timeout: float = 120.0) -> int:
@@ -346,5 +373,5 @@
         return self.routers[name].process.wait(timeout)
 
     def begin_stop(self, name: str) -> None:
-        """Ask a router to stop gracefully; return at once."""
+        """Start a graceful stop of a router; return without waiting."""
         self.routers[name].process.terminate()
--- a/bench/gates.py
+++ b/bench/gates.py
@@ -1,9 +1,9 @@
-"""Lists the days in journal entries that broke a rule or missed the gate.
+"""List the days in journal entries that failed a gate or violated a rule.
 
     python -m bench.gates journal/*.json
 
-A hunt's last line counts broken rules only; a day that misses the gate for
-another reason shows in its journal entry alone.
+The last line that a search run prints counts rule violations only. A day that
+fails the gate for another reason is recorded only in its journal entry.
 """
 
 import argparse
@@ -14,21 +14,27 @@
 
 
 class Day:
-    """One day of a journal entry."""
+    """One element of the list `days` of a journal entry.
 
-    __slots__ = ('site', 'name', 'seed', 'missed', 'broken')
+    `gate_failures` has the descriptions of the missed gate thresholds,
+    `rule_violations` the number of violations of each rule.
+    """
+
+    __slots__ = ('site', 'name', 'seed', 'gate_failures', 'rule_violations')
 
     def __init__(self, site: str, fields: dict[str, typing.Any]) -> None:
         self.site = site
         self.name = fields.get('name', '?')
         self.seed = fields.get('seed')
-        self.missed: list[str] = fields.get('short') or []
-        self.broken: dict[str, int] = fields.get('rules') or {}
+        self.gate_failures: list[str] = fields.get('short') or []
+        self.rule_violations: dict[str, int] = fields.get('rules') or {}
 
     def list_reasons(self) -> list[str]:
-        """Return why it does not pass; empty where it does."""
-        broken = [f'{rule}: {count}' for rule, count in self.broken.items()]
-        return broken + self.missed
+        """Return why the day does not pass; empty if it passes."""
+        rule_violations = [
+            f'{rule}: {count}' for rule, count in self.rule_violations.items()
+        ]
+        return rule_violations + self.gate_failures
 
 
 def read_days(path: pathlib.Path) -> list[Day]:
@@ -37,14 +43,14 @@
     Raises
     ------
     ValueError
-        It is no JSON document.
+        The file is not a JSON document.
     """
     entry = json.loads(path.read_text(encoding='utf-8'))
     site = entry.get('site') or '?'
     return [Day(site, fields) for fields in entry.get('days') or []]
 
 
-def tell(path: pathlib.Path) -> typing.Iterator[str]:
+def list_failures(path: pathlib.Path) -> typing.Iterator[str]:
     """Yield a line for each reason of each day that does not pass."""
     for day in read_days(path):
         for reason in day.list_reasons():
@@ -52,11 +58,11 @@
 
 
 def main() -> int:
-    """Print them; exit with 1 if there is any."""
+    """Print the days that do not pass; return 1 if there are any."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('entries', nargs='+', type=pathlib.Path)
     options = parser.parse_args()
-    lines = [line for path in options.entries for line in tell(path)]
+    lines = [line for path in options.entries for line in list_failures(path)]
     for line in lines:
         print(line)
     return 1 if lines else 0
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,8 +1,8 @@
-"""The load tool: runs a plan in several processes, merges what they saw.
+"""The load tool: runs a plan in several processes and merges their results.
 
     python -m bench.load PLAN.json OBSERVATION.json
 
-is one worker; `run_load` starts them.
+runs one worker process; `run_load` starts the workers.
 """
 
 from gevent import monkey
@@ -20,22 +20,22 @@
 from bench import processes  # noqa: E402
 from bench import records  # noqa: E402
 
-# Until a worker has imported its modules.
-_PREPARE_SECONDS = 1.0
-_FINISH_SECONDS = 60.0
+# Time allowed for the workers to import their modules before the load starts.
+_WORKER_START_SECONDS = 1.0
+_FINISH_TIMEOUT_SECONDS = 60.0
 
 
 class Load:
-    """A running load: its workers, until `finish`.
+    """A running load: starts the workers and collects their observations.
 
     Parameters
     ----------
     plan : Plan
-        Its `start` is set when the workers start.
+        The plan to run. Its `start` is set when the workers start.
     folder : pathlib.Path
-        For the workers' plans, observations and output.
+        For the workers' plans, observations and output files.
     workers : int
-        How many processes share the load.
+        Number of processes that share the load.
     """
 
     __slots__ = ('plan', '_folder', '_workers', '_stack')
@@ -58,11 +58,11 @@
 
     def __enter__(self) -> 'Load':
         self._folder.mkdir(parents=True, exist_ok=True)
-        self.plan.start = time.monotonic() + _PREPARE_SECONDS
-        parts = self.plan.split(len(self._workers))
-        del self._workers[len(parts) :]
-        for index, part in enumerate(parts):
-            plans.write_plan(self._folder / f'plan-{index}.json', part)
+        self.plan.start = time.monotonic() + _WORKER_START_SECONDS
+        worker_plans = self.plan.split(len(self._workers))
+        del self._workers[len(worker_plans) :]
+        for index, worker_plan in enumerate(worker_plans):
+            plans.write_plan(self._folder / f'plan-{index}.json', worker_plan)
             self._stack.callback(self._workers[index].close)
             self._workers[index].start()
         return self
@@ -74,18 +74,24 @@
         """Return whether the planned time has passed."""
         return time.monotonic() >= self.plan.start + self.plan.seconds
 
-    def measure_time(self) -> float:
-        """Return seconds since the start; negative before it."""
+    def read_elapsed_seconds(self) -> float:
+        """Return the seconds since the load's start; negative before it."""
         return time.monotonic() - self.plan.start
 
     def finish(self) -> records.Observation:
-        """Wait for the workers; return what they saw together."""
+        """Wait for the workers; return their merged observations.
+
+        Raises
+        ------
+        processes.ProcessFailed
+            A worker did not exit with code 0.
+        """
         merged = records.Observation(
             start=self.plan.start,
             seconds=self.plan.seconds,
             step_seconds=self.plan.step_seconds,
         )
-        end = self.plan.start + self.plan.seconds + _FINISH_SECONDS
+        end = self.plan.start + self.plan.seconds + _FINISH_TIMEOUT_SECONDS
         for index, worker in enumerate(self._workers):
             if worker.wait(max(0.0, end - time.monotonic())) != 0:
                 raise processes.ProcessFailed(worker.read_output()[-2000:])
@@ -97,17 +103,17 @@
 def run_load(
     plan: plans.Plan, folder: pathlib.Path, *, workers: int = 2
 ) -> records.Observation:
-    """Run a plan to its end; return what its callers saw."""
+    """Run a plan to its end; return the merged observations."""
     with Load(plan, folder, workers=workers) as load:
         return load.finish()
 
 
 def main() -> None:
-    """Run one worker."""
+    """Run one worker process."""
     plan_path, observation_path = map(pathlib.Path, sys.argv[1:3])
-    running = callers.Callers(plans.read_plan(plan_path))
-    running.run()
-    records.write_observation(observation_path, running.observation)
+    load_callers = callers.Callers(plans.read_plan(plan_path))
+    load_callers.run()
+    records.write_observation(observation_path, load_callers.observation)
 
 
 if __name__ == '__main__':
--- a/bench/measure.py
+++ b/bench/measure.py
@@ -1,12 +1,12 @@
-"""Measures the deployments of the brief under several policies.
+"""Measure the example deployments under several dispatch policies.
 
     make measure
     python -m bench.measure --deployment patrimonio --scenario uneven
     python -m bench.measure --faults
 
-Prints one table; writes build/measure.json, and a plot of each scenario's
-service over time as build/measure-DEPLOYMENT-SCENARIO.svg. Tokens are those
-of the scaled sizes, see `bench.scenarios`.
+Prints one table and writes build/measure.json. For each scenario, writes a
+plot of the service over time to build/measure-DEPLOYMENT-SCENARIO.svg. Token
+counts are those of the scaled request sizes; see `bench.scenarios`.
 """
 
 import argparse
@@ -28,7 +28,7 @@
 
 
 def parse_options(arguments: typing.Sequence[str]) -> argparse.Namespace:
-    """Return the command line's options."""
+    """Parse the command-line options."""
     names = [each.name for each in scenarios_module.SCENARIOS]
     names += [each.name for each in faults_module.FAULTS]
     parser = argparse.ArgumentParser(
@@ -38,13 +38,13 @@
         '--deployment',
         action='append',
         choices=_DEPLOYMENTS,
-        help='only this one; may be repeated (default: both)',
+        help='only this deployment; may be repeated (default: both)',
     )
     parser.add_argument(
         '--policy',
         action='append',
         choices=_POLICIES,
-        help='only this one; may be repeated (default: all; with --faults '
+        help='only this policy; may be repeated (default: all; with --faults '
         'only fleet)',
     )
     parser.add_argument(
@@ -54,11 +54,16 @@
         help='only this scenario or fault; may be repeated',
     )
     parser.add_argument(
-        '--faults', action='store_true', help='the faults, not the scenarios'
+        '--faults',
+        action='store_true',
+        help='run the faults instead of the scenarios',
     )
     parser.add_argument('--routers', type=int, default=8)
     parser.add_argument(
-        '--seconds', type=float, default=0.0, help='instead of the usual'
+        '--seconds',
+        type=float,
+        default=0.0,
+        help="duration of each load (default: the scenario's or fault's)",
     )
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument(
@@ -68,12 +73,12 @@
 
 
 def list_runs(options: argparse.Namespace) -> list[runs.Run]:
-    """Return the runs that the options ask for."""
+    """Return the runs that the options select."""
     policies = options.policy or (('fleet',) if options.faults else _POLICIES)
     found = []
     for name in options.deployment or _DEPLOYMENTS:
         deployment = deployments.read_deployment(name, routers=options.routers)
-        for scenario, fault in _list_loads(options):
+        for scenario, fault in _list_workloads(options):
             found += [
                 runs.Run(
                     deployment,
@@ -88,31 +93,31 @@
     return found
 
 
-def _list_loads(
+def _list_workloads(
     options: argparse.Namespace,
 ) -> list[tuple[scenarios_module.Scenario, faults_module.Fault | None]]:
     even = scenarios_module.SCENARIOS[0]
-    wanted = options.scenario
+    selected_names = options.scenario
     faults = [(even, fault) for fault in faults_module.FAULTS]
     scenarios = [(each, None) for each in scenarios_module.SCENARIOS]
-    if wanted:
+    if selected_names:
         return [
             (scenario, fault)
             for scenario, fault in scenarios + faults
-            if (fault or scenario).name in wanted
+            if (fault or scenario).name in selected_names
         ]
     return faults if options.faults else scenarios
 
 
 def print_results(results: typing.Sequence[runs.Result]) -> None:
-    """Print the table of all runs."""
+    """Print a table of all runs, and the errors of those that failed."""
     table = tables.Table(
         'deployment',
         'scenario',
         'policy',
         'gap',
         'bound',
-        'used',
+        'utilisation',
         'control B/s',
         'msg/s',
         'goodput',
@@ -136,26 +141,30 @@
             each.goodput,
             each.first_token_seconds_p95,
             each.between_chunks_seconds_p95,
-            _sum_up(each.refusals_by_reason),
-            _sum_up(each.failures_by_reason),
+            _sum_counts(each.refusals_by_reason),
+            _sum_counts(each.failures_by_reason),
             each.disturbed_seconds,
             each.processor_share_per_router,
         )
     print(table.render())
     for each in results:
         if each.error:
-            print(
-                f'{each.deployment} {each.scenario} {each.policy} broke off:'
-            )
+            print(f'{each.deployment} {each.scenario} {each.policy} failed:')
             print(each.error)
 
 
-def _sum_up(counts: dict[str, int] | None) -> int | None:
+def _sum_counts(counts: dict[str, int] | None) -> int | None:
     return None if counts is None else sum(counts.values())
 
 
 def main(arguments: typing.Sequence[str] | None = None) -> int:
-    """Run what is asked for; print and write the results."""
+    """Execute the selected runs; print and write the results.
+
+    Returns
+    -------
+    int
+        The exit code: 1 if a run failed, 0 otherwise.
+    """
     options = parse_options(sys.argv[1:] if arguments is None else arguments)
     _BUILD.mkdir(exist_ok=True)
     results: list[runs.Result] = []
@@ -163,12 +172,14 @@
     for index, run in enumerate(planned):
         label = f'{run.deployment.name}-{run.name}-{run.policy}'
         print(f'{index + 1}/{len(planned)} {label}', file=sys.stderr)
-        results.append(runs.execute_or_explain(run, _BUILD / 'runs' / label))
+        results.append(
+            runs.execute_or_record_error(run, _BUILD / 'runs' / label)
+        )
         rows = [result.build_values() for result in results]
         options.output.write_text(json.dumps(rows, indent=1))
     print_results(results)
     _draw_plots(results)
-    print(f'written: {options.output}')
+    print(f'results written to {options.output}')
     return 1 if any(result.error for result in results) else 0
 
 
--- a/bench/network.py
+++ b/bench/network.py
@@ -1,4 +1,7 @@
-"""The network between the routers: one proxied way for each ordered pair."""
+"""The network between the routers: one proxied link per ordered pair.
+
+A link carries the connections that its sender opens to its receiver.
+"""
 
 import itertools
 import json
@@ -10,14 +13,14 @@
 
 
 class Network:
-    """Carries what routers send each other, and can lose it.
+    """A proxy between the routers that can delay, drop and cut connections.
 
     Parameters
     ----------
     addresses : dict of str to str
-        Where each router listens for its peers.
+        The address at which each router listens for its peers, by name.
     folder : pathlib.Path
-        For the proxy's output.
+        For the proxy's output file.
     """
 
     __slots__ = ('_addresses', '_process', '_proxy', '_ports')
@@ -28,14 +31,14 @@
         self._addresses = addresses
         command = processes.build_python_command('standins.proxy')
         for sender, receiver in itertools.permutations(addresses, 2):
-            way = _name_way(sender, receiver)
-            command += ['--target', f'{way}={addresses[receiver]}']
+            link = _name_link(sender, receiver)
+            command += ['--target', f'{link}={addresses[receiver]}']
         self._process = processes.Process('proxy', command, folder)
         self._proxy: control.StandIn | None = None
         self._ports: dict[str, int] = {}
 
     def start(self) -> None:
-        """Start the proxy and learn the port of each way."""
+        """Start the proxy and read the port of each link from its output."""
         self._process.start()
         self._proxy = control.StandIn(self._process)
         announced = json.loads(self._process.read_output().splitlines()[0])
@@ -46,62 +49,78 @@
         self._process.close()
 
     def list_ways(self, sender: str) -> dict[str, str]:
-        """Return the setting `links.via` of one router."""
+        """Return the setting `links.via` of one router.
+
+        It has the proxy address of the link to each peer.
+        """
         return {
-            receiver: f'127.0.0.1:{self._ports[_name_way(sender, receiver)]}'
+            receiver: f'127.0.0.1:{self._ports[_name_link(sender, receiver)]}'
             for receiver in self._addresses
             if receiver != sender
         }
 
     def delay(self, seconds: float) -> None:
-        """Delay every message by so many seconds one way."""
+        """Delay all data on every link by `seconds` in each direction."""
         for sender, receiver in itertools.permutations(self._addresses, 2):
-            self.set_way(sender, receiver, delay_seconds=seconds)
+            self.set_link_faults(sender, receiver, delay_seconds=seconds)
 
-    def set_way(self, sender: str, receiver: str, **faults: object) -> None:
-        """Set the faults of what `sender` sends to `receiver`."""
-        way = _name_way(sender, receiver)
-        self._proxy.order('/standin/faults', listener=way, **faults)
+    def set_link_faults(
+        self, sender: str, receiver: str, **faults: object
+    ) -> None:
+        """Set faults of the link from `sender` to `receiver`."""
+        link = _name_link(sender, receiver)
+        self._proxy.order('/standin/faults', listener=link, **faults)
 
     def lose(self, sender: str, receiver: str) -> None:
-        """Lose all that `sender` sends to `receiver`, but not the answers."""
-        self.set_way(sender, receiver, direction='up', drop=True)
-        self.set_way(receiver, sender, direction='down', drop=True)
+        """Drop all that `sender` sends to `receiver`, not the reverse.
+
+        Applies to the connections that either of them has opened.
+        """
+        self.set_link_faults(sender, receiver, direction='up', drop=True)
+        self.set_link_faults(receiver, sender, direction='down', drop=True)
 
     def partition(self, side: typing.Collection[str]) -> None:
-        """Cut the routers of one side off from all others, both ways."""
+        """Drop all data between one side's routers and all other routers."""
         for sender, receiver in itertools.permutations(self._addresses, 2):
             if (sender in side) != (receiver in side):
-                self.set_way(sender, receiver, drop=True)
+                self.set_link_faults(sender, receiver, drop=True)
 
     def heal(self) -> None:
-        """End every loss; a stream that lost bytes is cut.
+        """End every drop fault and cut all connections between routers.
 
-        A real network's TCP would have sent the lost bytes again or given
-        the connection up; a proxy that threw bytes away can only do the
-        second.
+        TCP on a real network would either retransmit lost bytes or abort the
+        connection. The proxy has discarded the dropped bytes, so it can only
+        abort the connections.
         """
         for sender, receiver in itertools.permutations(self._addresses, 2):
-            self.set_way(sender, receiver, drop=False)
-            self.set_way(sender, receiver, cut=True)
+            self.set_link_faults(sender, receiver, drop=False)
+            self.set_link_faults(sender, receiver, cut=True)
 
     def count_sent_bytes(self) -> dict[str, float]:
-        """Return the bytes that each router has sent to its peers."""
-        ways = self._proxy.read_stats()
+        """Return the bytes that each router has sent to its peers, by name."""
+        links = self._proxy.read_stats()
         sent = dict.fromkeys(self._addresses, 0.0)
         for sender, receiver in itertools.permutations(self._addresses, 2):
-            way = ways[_name_way(sender, receiver)]
-            sent[sender] += way['up_bytes']
-            sent[receiver] += way['down_bytes']
+            link = links[_name_link(sender, receiver)]
+            sent[sender] += link['up_bytes']
+            sent[receiver] += link['down_bytes']
         return sent
 
     def slow(self, name: str, seconds: float) -> None:
-        """Delay all that one router sends and receives."""
-        for other in self._addresses:
-            if other != name:
-                self.set_way(name, other, delay_seconds=seconds)
-                self.set_way(other, name, delay_seconds=seconds)
+        """Delay all that one router sends and receives.
+
+        Parameters
+        ----------
+        name : str
+            The router.
+        seconds : float
+            The delay in each direction.
+        """
+        for peer in self._addresses:
+            if peer != name:
+                self.set_link_faults(name, peer, delay_seconds=seconds)
+                self.set_link_faults(peer, name, delay_seconds=seconds)
 
 
-def _name_way(sender: str, receiver: str) -> str:
+def _name_link(sender: str, receiver: str) -> str:
     return f'{sender}>{receiver}'
--- a/bench/plans.py
+++ b/bench/plans.py
@@ -1,4 +1,4 @@
-"""Plans: which client accounts send what, where and when."""
+"""Plans: the requests that client accounts send, to which routers and when."""
 
 import json
 import pathlib
@@ -6,37 +6,41 @@
 
 import numpy
 
-# The four kinds of request: mean sizes in tokens, cut to what the brief's
-# requests have.
+# Mean sizes of the four kinds of request, in tokens, and the limits to which
+# random sizes are clamped: those of the requests in the users' deployments.
 MEAN_TOKENS = (200, 600, 2500, 4000)
-LEAST_TOKENS = 50
-MOST_TOKENS = 32000
-SIGMA = 1.0
+MIN_TOKENS = 50
+MAX_TOKENS = 32000
+LOGNORMAL_SIGMA = 1.0
 
 
 class Traffic:
-    """What one client account sends.
+    """The requests that one client account sends.
 
     Parameters
     ----------
     account, key : str
         The account and its bearer key.
     service : str
-        The model service that it asks.
+        The model service that the requests are for.
     entries : list of str
-        Addresses of the routers that it asks, each as likely.
+        Addresses of the routers; each request goes to one of them, chosen
+        with equal probability.
     kind : str
-        The request kind it names.
+        The request kind that the requests name; none if empty.
     callers : int
-        Closed loop: so many callers, each with one request at a time.
+        Closed loop: number of callers, each with one request at a time.
     rate : float
-        Open loop: so many requests a second, at random moments.
+        Open loop: mean number of requests a second, sent with exponentially
+        distributed gaps.
     mean_tokens, least_tokens, most_tokens : float
-        Sizes are lognormal with this mean, cut.
+        Request sizes are drawn from a lognormal distribution with this mean
+        and clamped to the other two.
     prompt_words : int
-        Length of the prompt, which is the account's own and repeats.
+        Length of the prompt prefix, which all requests of the account share.
     active : list of two floats each
-        When it sends, in seconds since the start; always by default.
+        Intervals in which requests are sent, in seconds since the start;
+        always if empty.
     """
 
     __slots__ = (
@@ -65,8 +69,8 @@
         callers: int = 0,
         rate: float = 0.0,
         mean_tokens: float = MEAN_TOKENS[0],
-        least_tokens: float = LEAST_TOKENS,
-        most_tokens: float = MOST_TOKENS,
+        least_tokens: float = MIN_TOKENS,
+        most_tokens: float = MAX_TOKENS,
         prompt_words: int = 8,
         active: typing.Sequence[typing.Sequence[float]] = (),
     ) -> None:
@@ -84,19 +88,19 @@
         self.active = [list(each) for each in active]
 
     def scale(self, factor: float) -> None:
-        """Divide the sizes, for runs that are short."""
+        """Divide the request sizes by `factor`, for short runs."""
         self.mean_tokens /= factor
         self.least_tokens = max(1.0, self.least_tokens / factor)
         self.most_tokens /= factor
 
     def draw_length(self, random: numpy.random.Generator) -> int:
-        """Return the tokens that the next request generates."""
-        median = numpy.log(self.mean_tokens) - SIGMA**2 / 2
-        drawn = random.lognormal(median, SIGMA)
+        """Return the number of tokens that the next request generates."""
+        median = numpy.log(self.mean_tokens) - LOGNORMAL_SIGMA**2 / 2
+        drawn = random.lognormal(median, LOGNORMAL_SIGMA)
         return int(min(max(drawn, self.least_tokens), self.most_tokens))
 
     def is_active(self, seconds: float) -> bool:
-        """Return whether it sends, so many seconds after the start."""
+        """Return whether requests are sent `seconds` after the start."""
         if not self.active:
             return True
         return any(begin <= seconds < end for begin, end in self.active)
@@ -108,17 +112,19 @@
     Parameters
     ----------
     traffics : sequence of Traffic
-        One for each client account, or several.
+        One or more for each client account.
     seconds : float
-        How long new requests are sent.
+        Duration for which new requests are sent.
     start : float
-        `time.monotonic()` seconds of the start; the workers share it.
+        Start of the run in `time.monotonic()` seconds; the same for all
+        workers.
     seed : int
-        For sizes, entries and moments.
+        Seed for random sizes, routers and sending times.
     step_seconds : float
-        The step of the series of service over time.
+        The time step of the series of service over time.
     most_wait_seconds : float
-        A refused caller waits as long as it is told, at most so long.
+        Upper limit of the wait after a refusal. It also applies if the
+        response has no Retry-After header.
     """
 
     __slots__ = (
@@ -148,7 +154,10 @@
         self.most_wait_seconds = most_wait_seconds
 
     def split(self, parts: int) -> list['Plan']:
-        """Return plans of about equal load, one for each worker."""
+        """Return plans of about equal load, one for each worker.
+
+        Parts without traffic are left out.
+        """
         groups: list[list[Traffic]] = [[] for _ in range(parts)]
         for traffic in sorted(
             self.traffics, key=lambda each: -(each.callers + each.rate)
@@ -173,7 +182,7 @@
 
 
 def write_plan(path: pathlib.Path, plan: Plan) -> None:
-    """Write a plan as JSON, for a worker."""
+    """Write a plan as JSON for a worker process."""
     content = {name: getattr(plan, name) for name in Plan.__slots__}
     content['traffics'] = [
         {name: getattr(traffic, name) for name in Traffic.__slots__}
@@ -183,7 +192,7 @@
 
 
 def read_plan(path: pathlib.Path) -> Plan:
-    """Read what `write_plan` wrote."""
+    """Read a plan from a file that `write_plan` wrote."""
     content = json.loads(path.read_text())
     traffics = [Traffic(**values) for values in content.pop('traffics')]
     return Plan(traffics=traffics, **content)
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,4 +1,4 @@
-"""Plots: service of each client account over time."""
+"""Plots of the service that each client account received over time."""
 
 import pathlib
 import typing
@@ -20,7 +20,7 @@
 ) -> None:
     """Draw one panel for each result: service divided by share, over time.
 
-    Lines that stay together are accounts that are served fairly.
+    Accounts that are served fairly have lines that stay close together.
     """
     figure, panels = pyplot.subplots(
         1,
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Processes that the bench starts, watches and ends, each by its own id."""
+"""Child processes of benchmarks and tests, each ended by its process id."""
 
 import contextlib
 import json
@@ -11,27 +11,32 @@
 import time
 import typing
 
-_READY_SECONDS = 30.0
+_READY_TIMEOUT_SECONDS = 30.0
 _POLL_SECONDS = 0.02
 
 
 class ProcessFailed(Exception):
-    """A process ended or did not get ready; the message names its output."""
+    """A process ended, did not become ready or rejected a request.
+
+    The message has the output of the process or the path of its output file,
+    or the reason of the rejection.
+    """
 
 
 class Process:
-    """One child process, with its output in a file.
+    """One child process, with its output written to a file.
 
     Parameters
     ----------
     name : str
-        Names the output file.
+        Name of the process, and of its output file without the suffix.
     command : sequence of str
-        What to run; the first word is looked up as usual.
+        The program, which is searched for in PATH, and its arguments.
     folder : pathlib.Path
-        Where the output file goes.
+        Folder of the output file.
     environment : dict of str to str or None
-        Its whole environment; this process's by default.
+        All environment variables of the process; by default those of the
+        calling process.
     """
 
     __slots__ = (
@@ -62,12 +67,12 @@
 
     @property
     def pid(self) -> int:
-        """The id of the process, also after it ended."""
+        """The process id; also available after the process has ended."""
         return self._child.pid
 
     def start(self) -> None:
-        """Start it; a second start after an end is a restart."""
-        # The output of an earlier start stays in the file.
+        """Start the process, or restart it after it has ended."""
+        # Appends to the file, so the output of earlier starts is kept.
         with self.path.open('ab') as output:
             self._offset = output.tell()
             self._child = subprocess.Popen(
@@ -79,87 +84,103 @@
         self._paused = False
 
     def is_running(self) -> bool:
-        """Return whether it was started and has not ended."""
+        """Return whether the process was started and has not ended."""
         return self._child is not None and self._child.poll() is None
 
     def read_output(self) -> str:
-        """Return what it wrote since its last start."""
+        """Return the output since the last start."""
         with self.path.open('rb') as output:
             output.seek(self._offset)
             return output.read().decode('utf-8', 'replace')
 
     def wait_for_port(self) -> int:
-        """Return the port out of the line `{"port": N}` that it prints."""
-        end = time.monotonic() + _READY_SECONDS
+        """Wait for the output line `{"port": N}` and return the port.
+
+        Raises
+        ------
+        ProcessFailed
+            The process ended, or printed no such line in time.
+        """
+        end = time.monotonic() + _READY_TIMEOUT_SECONDS
         while time.monotonic() < end:
             for line in self.read_output().splitlines():
                 with contextlib.suppress(ValueError, TypeError, KeyError):
                     return int(json.loads(line)['port'])
             self._check_running()
             time.sleep(_POLL_SECONDS)
-        raise ProcessFailed(f'{self.name} named no port; see {self.path}')
+        raise ProcessFailed(
+            f'{self.name} did not print its port in time; see {self.path}'
+        )
 
     def wait_for_listener(self, address: str) -> None:
-        """Return once something accepts connections at `address`."""
-        target, _, port = address.rpartition(':')
-        end = time.monotonic() + _READY_SECONDS
+        """Wait until connections to `address` are accepted.
+
+        Raises
+        ------
+        ProcessFailed
+            The process ended, or nothing listened in time.
+        """
+        host, _, port = address.rpartition(':')
+        end = time.monotonic() + _READY_TIMEOUT_SECONDS
         while time.monotonic() < end:
             with contextlib.suppress(OSError):
-                socket.create_connection((target, int(port)), 1.0).close()
+                socket.create_connection((host, int(port)), 1.0).close()
                 return
             self._check_running()
             time.sleep(_POLL_SECONDS)
-        raise ProcessFailed(f'{self.name} does not listen; see {self.path}')
+        raise ProcessFailed(
+            f'{self.name} does not accept connections; see {self.path}'
+        )
 
     def _check_running(self) -> None:
         if not self.is_running():
             raise ProcessFailed(
-                f'{self.name} ended with {self._child.returncode}: '
+                f'{self.name} ended with exit code {self._child.returncode}: '
                 f'{self.read_output()[-2000:]}'
             )
 
     def pause(self) -> None:
-        """Stop its clock, as a long garbage collection or a freeze does."""
+        """Suspend the process, to simulate a long garbage collection."""
         self._child.send_signal(signal.SIGSTOP)
         self._paused = True
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Continue a suspended process."""
         self._child.send_signal(signal.SIGCONT)
         self._paused = False
 
     def kill(self) -> None:
-        """End it at once, as a crash does."""
+        """Kill the process without warning, as a crash does."""
         if self.is_running():
             self._child.kill()
         self._child.wait()
 
     def terminate(self) -> None:
-        """Ask it to stop; returns at once."""
+        """Send SIGTERM to the process; return without waiting."""
         self._child.terminate()
 
     def hang_up(self) -> None:
-        """Tell it that its settings file has changed."""
+        """Send SIGHUP, on which a router reloads its settings file."""
         self._child.send_signal(signal.SIGHUP)
 
     def wait(self, timeout: float) -> int:
-        """Wait for its end and return its exit code."""
+        """Wait for the process to end and return its exit code."""
         return self._child.wait(timeout)
 
     def read_processor_seconds(self) -> float:
-        """Return the processor time it used, in seconds (Linux only)."""
+        """Return the processor time used, in seconds (Linux only)."""
         stat = pathlib.Path(f'/proc/{self.pid}/stat').read_text()
         fields = stat.rpartition(')')[2].split()
         ticks = int(fields[11]) + int(fields[12])
         return ticks / os.sysconf('SC_CLK_TCK')
 
     def read_resident_bytes(self) -> int:
-        """Return the memory it holds, in bytes (Linux only)."""
+        """Return the resident memory, in bytes (Linux only)."""
         statm = pathlib.Path(f'/proc/{self.pid}/statm').read_text()
         return int(statm.split()[1]) * os.sysconf('SC_PAGE_SIZE')
 
     def list_children(self) -> list[int]:
-        """Return the ids of the processes that it started (Linux only)."""
+        """Return the ids of the child processes (Linux only)."""
         tasks = pathlib.Path(f'/proc/{self.pid}/task')
         return [
             int(child)
@@ -168,7 +189,7 @@
         ]
 
     def close(self) -> None:
-        """End it, whatever state it is in."""
+        """End the process if it was started, also while it is suspended."""
         if self._child is None:
             return
         if self._paused:
@@ -177,19 +198,19 @@
 
 
 def build_python_command(module: str, *arguments: str) -> list[str]:
-    """Return the command that runs a module with this interpreter."""
+    """Return the command that runs a module with the current interpreter."""
     return [sys.executable, '-m', module, *arguments]
 
 
 class Ports:
-    """Ports of the kernel's choice, kept until `close`.
-
-    A router's addresses stand in its settings before it starts, so the
-    kernel can't pick them at its start. A port that is merely known to be
-    free is soon taken for an outgoing connection on a busy machine. Here
-    each stays bound, but not listening, with SO_REUSEADDR: Linux lets a
-    router that sets it too bind and listen there, and gives the port to no
-    connection.
+    """Free ports chosen by the kernel and reserved until `close`.
+
+    A router's settings contain its addresses before the router starts, so
+    the kernel can't choose the ports when the router binds them. A port that
+    is only known to be free may soon be used for an outgoing connection on a
+    busy machine. Here each port stays bound with SO_REUSEADDR, without
+    listening: Linux lets a router that sets SO_REUSEADDR too bind and listen
+    on the port, and does not use the port for outgoing connections.
     """
 
     __slots__ = ('numbers', '_stack')
@@ -205,5 +226,5 @@
         return reserved.getsockname()[1]
 
     def close(self) -> None:
-        """Give the ports back."""
+        """Release the ports."""
         self._stack.close()
--- a/bench/records.py
+++ b/bench/records.py
@@ -1,40 +1,41 @@
-"""Records: what the load tool saw of each request and of each account."""
+"""The load tool's records of each request and of each account's service."""
 
 import json
 import pathlib
 import typing
 
 
-# How a request ended, as its caller saw it.
+# Outcomes of a request, as seen by its caller.
 DONE = 'done'
 REFUSED = 'refused'
 FAILED = 'failed'
-# The run ended first: neither a success nor a failure.
+# The run ended before the request: neither a success nor a failure.
 STOPPED = 'stopped'
-# An answer that was not whole, or not this request's own.
+# An answer with a text other than the one expected for the request.
 WRONG = 'wrong'
 
 
 class Record:
-    """One request, as its caller saw it.
+    """One request, as seen by its caller.
 
     Parameters
     ----------
     account, entry : str
-        The client account, and the address of the router that was asked.
+        The client account, and the address of the router.
     start : float
-        When it was sent, in `time.monotonic()` seconds, which the processes
-        of one machine share.
+        Time at which the request was sent, in `time.monotonic()` seconds,
+        which all processes of one machine share.
     first, end : float or None
-        When the first token and the end of the answer came.
+        Times at which the first token and the end of the answer arrived.
     outcome : str
-        One of this module's words.
+        One of the outcomes that this module defines.
     status : int
-        The HTTP status; 0 where none came.
+        The HTTP status; 0 if no response arrived.
     tokens : int
-        Tokens of service delivered: prompt and generated ones.
+        Number of generated tokens delivered.
     reason : str
-        Why it was refused or failed; empty otherwise.
+        Why the request was refused or failed, or why its answer is wrong;
+        empty otherwise.
     """
 
     __slots__ = (
@@ -74,7 +75,7 @@
 
 
 class Delivery:
-    """Tokens that one account was delivered in each step of time."""
+    """Tokens delivered to one account in each time step."""
 
     __slots__ = ('account', 'steps')
 
@@ -85,21 +86,21 @@
         self.steps = steps or {}
 
     def add(self, step: int, tokens: float) -> None:
-        """Add tokens delivered in the step of time `step`."""
+        """Add tokens delivered in the time step with the index `step`."""
         self.steps[step] = self.steps.get(step, 0.0) + tokens
 
 
 class Observation:
-    """All that one run of the load tool saw.
+    """All results of one run of the load tool.
 
     Parameters
     ----------
     start : float
-        The first step of time begins here, in `time.monotonic()` seconds.
+        Start of the first time step, in `time.monotonic()` seconds.
     seconds, step_seconds : float
-        The run's length, and one step's.
+        Duration of the run and of one time step.
     gaps : list of float
-        Seconds between one chunk of a stream and the next.
+        Seconds between consecutive chunks of a stream with tokens.
     """
 
     __slots__ = (
@@ -128,27 +129,32 @@
         self.deliveries = {each.account: each for each in deliveries}
         self.gaps = list(gaps)
 
-    def deliver(self, account: str, moment: float, tokens: float) -> None:
-        """Note tokens that came at `moment`."""
+    def record_delivery(
+        self, account: str, arrival_time: float, tokens: float
+    ) -> None:
+        """Add tokens that arrived at `arrival_time` to the account's steps.
+
+        The time is in `time.monotonic()` seconds.
+        """
         if account not in self.deliveries:
             self.deliveries[account] = Delivery(account)
-        step = int((moment - self.start) / self.step_seconds)
+        step = int((arrival_time - self.start) / self.step_seconds)
         self.deliveries[account].add(step, tokens)
 
     def merge(self, other: 'Observation') -> None:
-        """Add what another worker of the same run saw."""
+        """Add the observation of another worker of the same run."""
         self.records += other.records
         self.gaps += other.gaps
         for delivery in other.deliveries.values():
-            own = self.deliveries.setdefault(
+            delivery_total = self.deliveries.setdefault(
                 delivery.account, Delivery(delivery.account)
             )
             for step, tokens in delivery.steps.items():
-                own.add(step, tokens)
+                delivery_total.add(step, tokens)
 
 
 def write_observation(path: pathlib.Path, observation: Observation) -> None:
-    """Write an observation as JSON, for the process that merges them."""
+    """Write an observation as JSON for the process that merges them."""
     slots = Record.__slots__
     content = {
         'start': observation.start,
@@ -168,7 +174,7 @@
 
 
 def read_observation(path: pathlib.Path) -> Observation:
-    """Read what `write_observation` wrote."""
+    """Read an observation from a file that `write_observation` wrote."""
     content = json.loads(path.read_text())
     rows = content.pop('records')
     deliveries = content.pop('deliveries')
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,11 +1,11 @@
-"""What the relay costs: processor time and latency against a direct call.
+"""Measure the relay's processor time and latency against direct calls.
 
     python -m bench.relay
 
-Starts a stand-in engine and an entry with a scheduler that grants at once,
-each in a process of its own, and calls the engine directly and through the
-entry. Prints one table and, with `--json FILE`, the same as JSON. Processor
-time is what the kernel counted for the entry's process.
+Starts a stand-in engine and an entry whose scheduler grants a slot without
+delay, each as a separate process, and calls the engine directly and through
+the entry. Prints the results and, with `--json FILE`, also writes them as
+JSON. Processor time is what the kernel counted for the entry's process.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 
 class Process:
-    """One started process that announces its port in a JSON line."""
+    """A child process that prints its port in a JSON line."""
 
     def __init__(self, *command: str) -> None:
         self._process = subprocess.Popen(
@@ -42,8 +42,8 @@
         )
         self.port = json.loads(self._process.stdout.readline())['port']
 
-    def read_microseconds(self) -> float:
-        """Return the processor time it has used."""
+    def read_processor_microseconds(self) -> float:
+        """Return the processor time used, in microseconds."""
         path = pathlib.Path(f'/proc/{self._process.pid}/schedstat')
         return int(path.read_text().split()[0]) / 1000
 
@@ -52,8 +52,8 @@
         self._process.wait(10)
 
 
-class Run:
-    """Many calls of one kind, and what they took."""
+class CallSeries:
+    """A series of equal calls, and the time that they took."""
 
     def __init__(self, port: int, *, tokens: int, stream: bool) -> None:
         self._tokens = tokens
@@ -66,7 +66,7 @@
         self.seconds = 0.0
 
     def call(self, number: int) -> None:
-        """Make one call and check that its answer is whole."""
+        """Make one call and check that its answer is complete."""
         prompt = f'{number} LENGTH={self._tokens}'
         body = {
             'model': 'llm',
@@ -84,22 +84,22 @@
         last = f' w{self._tokens - 1}.'.encode()
         assert answer.status_code == 200 and last in data, data[-300:]
 
-    def drive(self, count: int, concurrency: int) -> None:
-        """Make `count` calls, `concurrency` at once."""
+    def run_calls(self, count: int, concurrency: int) -> None:
+        """Make `count` calls, `concurrency` at a time."""
         started = time.perf_counter()
         pool.Pool(concurrency).map(self.call, range(count))
         self.seconds = time.perf_counter() - started
 
 
 def serve(engine: str) -> None:
-    """Run the entry's process."""
+    """Run the entry's process, which relays to `engine`."""
     side = callers.Side(callers.build_document([engine]))
     print(json.dumps({'port': side.address[1]}), flush=True)
     gevent.get_hub().join()
 
 
 class Comparison:
-    """One load, put on the engine directly and through the entry."""
+    """The same load on the engine directly and through the entry."""
 
     def __init__(
         self, engine: Process, entry: Process, *, tokens: int, stream: bool
@@ -109,30 +109,39 @@
         self._options = {'tokens': tokens, 'stream': stream}
 
     def measure(self, count: int, concurrency: int) -> dict[str, typing.Any]:
-        """Return the figures, after a run to warm up."""
+        """Return the measurements, made after a warm-up run."""
         for port in (self._engine.port, self._entry.port):
-            Run(port, **self._options).drive(concurrency, concurrency)
-        direct = Run(self._engine.port, **self._options)
-        direct.drive(count, concurrency)
-        before = self._entry.read_microseconds()
-        engine_before = self._engine.read_microseconds()
-        through = Run(self._entry.port, **self._options)
-        through.drive(count, concurrency)
-        used = self._entry.read_microseconds() - before
-        engine_used = self._engine.read_microseconds() - engine_before
+            CallSeries(port, **self._options).run_calls(
+                concurrency, concurrency
+            )
+        direct = CallSeries(self._engine.port, **self._options)
+        direct.run_calls(count, concurrency)
+        before = self._entry.read_processor_microseconds()
+        engine_before = self._engine.read_processor_microseconds()
+        relayed = CallSeries(self._entry.port, **self._options)
+        relayed.run_calls(count, concurrency)
+        entry_processor_time = (
+            self._entry.read_processor_microseconds() - before
+        )
+        engine_processor_time = (
+            self._engine.read_processor_microseconds() - engine_before
+        )
         return {
             'requests': count,
             'concurrency': concurrency,
-            'entry_us_per_request': used / count,
-            'entry_us_per_token': used / count / self._options['tokens'],
-            'entry_to_engine_processor_time': used / engine_used,
-            'rate_ratio': direct.seconds / through.seconds,
-            'rate': count / through.seconds,
-            'latency_ratio': statistics.median(through.latencies)
+            'entry_us_per_request': entry_processor_time / count,
+            'entry_us_per_token': entry_processor_time
+            / count
+            / self._options['tokens'],
+            'entry_to_engine_processor_time': entry_processor_time
+            / engine_processor_time,
+            'rate_ratio': direct.seconds / relayed.seconds,
+            'rate': count / relayed.seconds,
+            'latency_ratio': statistics.median(relayed.latencies)
             / statistics.median(direct.latencies),
             'added_first_byte_us': 1e6
             * (
-                statistics.median(through.first)
+                statistics.median(relayed.first)
                 - statistics.median(direct.first)
             ),
         }
@@ -141,14 +150,24 @@
 def measure() -> dict[str, typing.Any]:
     """Run all comparisons."""
     figures = {}
-    quick = ('standins.engine', '--step-ms', '0.2', '--slots', '64')
-    paced = ('standins.engine', '--step-ms', '20', '--slots', '64')
+    fast_engine = ('standins.engine', '--step-ms', '0.2', '--slots', '64')
+    paced_engine = ('standins.engine', '--step-ms', '20', '--slots', '64')
     for name, engine_command, options, load in (
-        ('whole, one at a time', quick, (1, False), (1000, 1)),
-        ('whole, 16 at once', quick, (1, False), (3000, 16)),
-        ('streams of 1 token, 16 at once', quick, (1, True), (3000, 16)),
-        ('streams of 400 tokens, 32 at once', paced, (400, True), (64, 32)),
-        ('streams of 400 tokens, flat out', quick, (400, True), (100, 16)),
+        ('whole, one at a time', fast_engine, (1, False), (1000, 1)),
+        ('whole, 16 at once', fast_engine, (1, False), (3000, 16)),
+        ('streams of 1 token, 16 at once', fast_engine, (1, True), (3000, 16)),
+        (
+            'streams of 400 tokens, 32 at once',
+            paced_engine,
+            (400, True),
+            (64, 32),
+        ),
+        (
+            'streams of 400 tokens, flat out',
+            fast_engine,
+            (400, True),
+            (100, 16),
+        ),
     ):
         engine = Process(*engine_command)
         address = f'127.0.0.1:{engine.port}'
@@ -163,7 +182,9 @@
 
 def main() -> None:
     """Run the program."""
-    parser = argparse.ArgumentParser(description='What the relay costs.')
+    parser = argparse.ArgumentParser(
+        description='Measure the processor time and latency of the relay.'
+    )
     parser.add_argument('--serve', metavar='ENGINE', help=argparse.SUPPRESS)
     parser.add_argument('--json', type=pathlib.Path)
     options = parser.parse_args()
--- a/bench/runs.py
+++ b/bench/runs.py
@@ -1,4 +1,4 @@
-"""Runs: one deployment, one policy, one scenario or fault, measured."""
+"""Measured runs of one deployment, policy and scenario or fault."""
 
 import pathlib
 import threading
@@ -18,34 +18,38 @@
 from bench import sampling
 from bench import scenarios
 
-# The first seconds fill the queues and the engines; they are left out.
+# The queues and engines fill up in the first seconds, which the measures
+# exclude.
 WARM_UP_SECONDS = 3.0
-# A second with less than this part of the slots busy is one of a fault.
+# A time in which requests wait and less than this fraction of the slots is
+# busy counts as disturbed.
 _HEALTHY_UTILISATION = 0.9
 _FIRST_TOKEN_STEPS = 1.0
-# Settings of dispatch that are amounts of tokens.
+# Settings of the section `dispatch` whose unit is tokens.
 _TOKEN_SETTINGS = ('charge_tokens', 'commit_tokens')
 
 
 class Run:
-    """What to run.
+    """The parameters of a run.
 
     Parameters
     ----------
     deployment : Deployment
-        Not changed.
+        The deployment to start. It is not changed.
     policy : str
         The setting `dispatch.policy`.
     scenario : Scenario
-        The load.
+        The scenario that builds the load.
     fault : Fault or None
-        What goes wrong meanwhile.
+        The fault to inject during the load.
     seconds : float
-        The load's time; 0: as the scenario or fault has it.
+        Duration of the load; 0 for that of the fault or the scenario.
     seed : int
-        The load's seed: the same for every policy.
+        Seed of the load. It does not depend on the policy, so policies are
+        compared under the same load.
     through_proxy : bool
-        Whether messages between routers take the deployment's delay.
+        Whether messages between routers are delayed by the deployment's
+        delay.
     """
 
     __slots__ = (
@@ -79,14 +83,14 @@
 
     @property
     def name(self) -> str:
-        """The scenario's name, or the fault's."""
+        """The name of the fault, or of the scenario if there is no fault."""
         return self.fault.name if self.fault else self.scenario.name
 
 
 class Result:
     """The measures of one run; the slots are the fields of the JSON file.
 
-    What was not measured is None.
+    A field that was not measured is None. `series` is not written.
     """
 
     __slots__ = (
@@ -122,7 +126,7 @@
         self.scenario = run.name
 
     def build_values(self) -> dict[str, typing.Any]:
-        """Return what the JSON file holds."""
+        """Return the values that are written to the JSON file."""
         return {
             name: getattr(self, name)
             for name in self.__slots__
@@ -130,11 +134,11 @@
         }
 
 
-def execute_or_explain(run: Run, folder: pathlib.Path) -> Result:
-    """Execute a run; one that breaks off tells why in `error`.
+def execute_or_record_error(run: Run, folder: pathlib.Path) -> Result:
+    """Execute a run; store the error message in `error` if the run fails.
 
-    A fleet that does not come back from a fault is a result as well, and
-    must not cost the other runs theirs.
+    A fleet that does not recover from a fault is also a result, and must not
+    prevent the remaining runs.
     """
     try:
         return execute(run, folder)
@@ -145,12 +149,16 @@
 
 
 def execute(run: Run, folder: pathlib.Path) -> Result:
-    """Start the fleet, run the load and the fault, measure, end it all."""
+    """Start the fleet, run the load and the fault, and measure the run.
+
+    The fleet is stopped before the function returns.
+    """
     deployment = run.deployment.copy()
     service = deployment.list_services('model')[0]
     scenarios.scale_estimates(deployment, service)
-    # The scenario may change the document, so it is built once before the
-    # fleet starts; a second time with the addresses that are known then.
+    # The scenario may change the document, so its load is built once before
+    # the fleet starts. `_build_plan` builds the load again with the routers'
+    # addresses, which are known only after the start.
     run.scenario.build(deployment, service, ['127.0.0.1:1'])
     with fleet_module.Fleet(
         deployment,
@@ -165,7 +173,10 @@
 
 
 def _build_settings(policy: str) -> dict[str, dict[str, typing.Any]]:
-    """Return the settings that differ: amounts of tokens scale as sizes."""
+    """Return the settings that differ from the defaults.
+
+    Settings in tokens are divided by the same factor as the request sizes.
+    """
     scaled = {
         key: max(1, int(kind.default / scenarios.SIZE_SCALE))
         for key, kind in settings_module.SECTIONS['dispatch'].items()
@@ -201,10 +212,10 @@
         load_module.Load(plan, folder) as load,
         sampling.Sampler(fleet, service) as sampler,
     ):
-        window = _Window(fleet, load)
+        window = _MeasurementWindow(fleet, load)
         if run.fault:
             window.wait(faults_module.FAULT_START_SECONDS)
-            run.fault.act(fleet, load, service)
+            run.fault.inject(fleet, load, service)
         observation = load.finish()
         window.end()
     result = Result(run)
@@ -216,10 +227,20 @@
     return result
 
 
-class _Window:
-    """Samples the routers at the end of the warm-up and of the load."""
+class _MeasurementWindow:
+    """Samples the routers at the end of the warm-up and of the load.
 
-    __slots__ = ('_fleet', '_load', '_thread', '_before', '_after', '_used')
+    A thread takes the first sample.
+    """
+
+    __slots__ = (
+        '_fleet',
+        '_load',
+        '_thread',
+        '_before',
+        '_after',
+        '_processor_seconds',
+    )
 
     def __init__(
         self, fleet: fleet_module.Fleet, load: load_module.Load
@@ -228,22 +249,24 @@
         self._load = load
         self._before: sampling.ControlSample | None = None
         self._after: sampling.ControlSample | None = None
-        self._used: dict[str, float] = {}
-        self._thread = threading.Thread(target=self._begin, daemon=True)
+        self._processor_seconds: dict[str, float] = {}
+        self._thread = threading.Thread(
+            target=self._take_first_sample, daemon=True
+        )
         self._thread.start()
 
     def wait(self, seconds: float) -> None:
-        """Wait until so many seconds after the load's start."""
+        """Wait until `seconds` after the load's start."""
         event = threading.Event()
-        event.wait(max(0.0, seconds - self._load.measure_time()))
+        event.wait(max(0.0, seconds - self._load.read_elapsed_seconds()))
 
-    def _begin(self) -> None:
+    def _take_first_sample(self) -> None:
         self.wait(WARM_UP_SECONDS)
         self._before = sampling.sample_control(self._fleet)
-        self._used = self._read_processors()
+        self._processor_seconds = self._read_processors()
 
     def end(self) -> None:
-        """Take the second sample."""
+        """Take the second sample, after the first one has been taken."""
         self._thread.join()
         self._after = sampling.sample_control(self._fleet)
 
@@ -259,25 +282,28 @@
         return sampling.ControlRate(self._before, self._after)
 
     def compute_processor_share(self) -> float:
-        """Return the part of a core that a router used, in the mean."""
+        """Return the mean fraction of a core that a router used."""
         elapsed = self._after.time - self._before.time
-        used = self._read_processors()
+        processor_seconds = self._read_processors()
         shares = []
-        for name, seconds in used.items():
-            before = self._used.get(name, 0.0)
-            # A router that was restarted counts from zero again.
-            gained = seconds - before if seconds >= before else seconds
-            shares.append(gained / elapsed)
+        for name, seconds in processor_seconds.items():
+            before = self._processor_seconds.get(name, 0.0)
+            # The processor time of a restarted router starts at zero again.
+            growth = seconds - before if seconds >= before else seconds
+            shares.append(growth / elapsed)
         return sum(shares) / len(shares) if shares else 0.0
 
 
 def _build_series(
     fleet: fleet_module.Fleet, observation: records.Observation, service: str
 ) -> figures.ServiceSeries:
-    # A slot's first token comes at the end of a step at the soonest.
-    least = fleet.step_seconds * _FIRST_TOKEN_STEPS
+    # The first token after a slot's grant arrives at the end of an engine
+    # step at the earliest.
+    min_service_seconds = fleet.step_seconds * _FIRST_TOKEN_STEPS
     shares = fleet.deployment.read_shares(service)
-    return figures.build_series(observation, shares, service_seconds=least)
+    return figures.build_series(
+        observation, shares, service_seconds=min_service_seconds
+    )
 
 
 def _fill_fairness(
@@ -288,7 +314,7 @@
     fleet: fleet_module.Fleet,
     service: str,
 ) -> None:
-    steady = series.cut(WARM_UP_SECONDS, run.seconds)
+    steady = series.select_period(WARM_UP_SECONDS, run.seconds)
     gap = figures.compute_fairness_gap(steady)
     result.fairness_gap_tokens = gap.tokens
     result.gap_accounts = list(gap.accounts)
@@ -308,7 +334,7 @@
     load: load_module.Load,
 ) -> None:
     start = load.plan.start
-    steady = series.cut(WARM_UP_SECONDS, run.seconds)
+    steady = series.select_period(WARM_UP_SECONDS, run.seconds)
     occupancy = sampler.build_occupancy(steady, start)
     result.utilisation = figures.compute_utilisation([occupancy])
     result.most_waiting_in_an_engine = sampler.count_most_waiting()
@@ -317,14 +343,18 @@
 
 
 def _find_disturbed_time(occupancy: figures.Occupancy) -> float:
-    """Return the seconds in which too many slots idled while work waited."""
+    """Return the seconds in which slots were idle while requests waited.
+
+    Counts the samples in which the busy fraction of the slots is below
+    `_HEALTHY_UTILISATION`.
+    """
     with numpy.errstate(invalid='ignore'):
         busy = occupancy.busy / occupancy.slots
     disturbed = (busy < _HEALTHY_UTILISATION) & occupancy.waiting
     return float(disturbed.sum()) * sampling.SAMPLE_SECONDS
 
 
-def _fill_traffic(result: Result, window: _Window) -> None:
+def _fill_traffic(result: Result, window: _MeasurementWindow) -> None:
     rate = window.compute_control_rate()
     result.control_bytes_per_second_per_instance = rate.bytes_per_second
     result.control_messages_per_second_per_instance = rate.messages_per_second
@@ -340,5 +370,5 @@
     first = figures.compute_first_token(observation)
     result.first_token_seconds_p50 = first.p50
     result.first_token_seconds_p95 = first.p95
-    between = figures.Percentiles(observation.gaps)
-    result.between_chunks_seconds_p95 = between.p95
+    chunk_gaps = figures.Percentiles(observation.gaps)
+    result.between_chunks_seconds_p95 = chunk_gaps.p95
--- a/bench/sampling.py
+++ b/bench/sampling.py
@@ -1,4 +1,4 @@
-"""Samples of engines and routers, taken while a load runs."""
+"""Sampling of the engines and routers of a fleet while a load runs."""
 
 import http.client
 import json
@@ -17,7 +17,11 @@
 
 
 class BusySample:
-    """The busy slot time of every engine so far, at one moment."""
+    """A sample of every engine at one time.
+
+    `busy` is each engine's slot time in use since its start, in seconds,
+    `waiting` its number of waiting requests.
+    """
 
     __slots__ = ('time', 'busy', 'waiting')
 
@@ -30,12 +34,13 @@
 
 
 class Sampler:
-    """Reads the engines of one service several times a second.
+    """Reads the load of one service's engines every `SAMPLE_SECONDS`.
 
-    A thread of the bench's main process, which does nothing else meanwhile.
+    Uses a thread of the benchmark's main process, which is idle while the
+    load runs.
     """
 
-    __slots__ = ('samples', '_addresses', '_slots', '_thread', '_ended')
+    __slots__ = ('samples', '_addresses', '_slots', '_thread', '_stop_event')
 
     def __init__(self, fleet: fleet_module.Fleet, service: str) -> None:
         servers = [
@@ -49,7 +54,7 @@
         }
         self._slots = sum(values.get('slots', 16) for values in servers)
         self.samples: list[BusySample] = []
-        self._ended = threading.Event()
+        self._stop_event = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def __enter__(self) -> 'Sampler':
@@ -57,7 +62,7 @@
         return self
 
     def __exit__(self, *exception: object) -> None:
-        self._ended.set()
+        self._stop_event.set()
         self._thread.join()
 
     def _run(self) -> None:
@@ -66,7 +71,7 @@
             for name, address in self._addresses.items()
         }
         due = time.monotonic()
-        while not self._ended.wait(max(0.0, due - time.monotonic())):
+        while not self._stop_event.wait(max(0.0, due - time.monotonic())):
             due += SAMPLE_SECONDS
             busy, waiting = {}, {}
             for name, connection in connections.items():
@@ -83,17 +88,18 @@
         series: figures.ServiceSeries,
         start: float,
     ) -> figures.Occupancy:
-        """Return the slots in use over time.
+        """Return the slots in use between consecutive samples.
 
         Parameters
         ----------
         series : ServiceSeries
-            Of the accounts that may use the service. Work waits in an
-            interval if some account was backlogged in each of its steps.
+            Series of the accounts that may use the service. Requests count
+            as waiting between two samples if in each step of that interval
+            at least one account was backlogged.
         start : float
-            The `time.monotonic()` seconds from which the series counts.
+            Start of the series in `time.monotonic()` seconds.
         """
-        anyone = series.backlogged.any(axis=0)
+        any_backlogged = series.backlogged.any(axis=0)
         busy, slots, waiting = [], [], []
         for before, after in zip(self.samples, self.samples[1:]):
             begin, end = before.time - start, after.time - start
@@ -103,24 +109,24 @@
             used = sum(after.busy.values()) - sum(before.busy.values())
             busy.append(used / (end - begin))
             slots.append(self._slots)
-            waiting.append(bool(anyone[inside].all()))
+            waiting.append(bool(any_backlogged[inside].all()))
         return figures.Occupancy(
             numpy.array(busy), numpy.array(slots), numpy.array(waiting)
         )
 
     def count_most_waiting(self) -> int:
-        """Return the most requests that were seen waiting in one engine."""
+        """Return the largest number of requests waiting in one engine."""
         return max(
             (max(each.waiting.values()) for each in self.samples), default=0
         )
 
 
 class ControlSample:
-    """What each router has sent to its peers so far.
+    """The control traffic that each router has sent to its peers.
 
-    `bytes` are those on the wire where a proxy counts them, `by_kind` the
-    routers' own counters before compression: `bytes/KIND` and
-    `messages/KIND`, summed over the routers.
+    `bytes` has the bytes on the wire if a proxy counts them, and the routers'
+    own counters otherwise. `by_kind` has the routers' own counters before
+    compression, `bytes/KIND` and `messages/KIND`, summed over the routers.
     """
 
     __slots__ = ('time', 'bytes', 'messages', 'by_kind')
@@ -139,7 +145,10 @@
 
 
 class ControlRate:
-    """Control traffic of one instance, in the mean; None: no router told."""
+    """Mean control traffic of one instance between two samples.
+
+    A rate is None if the second sample has no router's counters.
+    """
 
     __slots__ = ('bytes_per_second', 'messages_per_second', 'by_kind')
 
@@ -151,10 +160,10 @@
         self.messages_per_second = _compute_mean_growth(
             before.messages, after.messages, elapsed
         )
-        told = max(1, len(after.messages))
+        router_count = max(1, len(after.messages))
         self.by_kind = {
             kind: max(0.0, count - before.by_kind.get(kind, 0.0))
-            / told
+            / router_count
             / elapsed
             for kind, count in sorted(after.by_kind.items())
         }
@@ -165,7 +174,7 @@
 ) -> float | None:
     if not after:
         return None
-    # A router that restarted counts from zero again.
+    # The counters of a restarted router start at zero again.
     grown = [
         value - before.get(name, 0.0)
         if value >= before.get(name, 0.0)
@@ -176,10 +185,10 @@
 
 
 def sample_control(fleet: fleet_module.Fleet) -> ControlSample:
-    """Read what every router has sent.
+    """Read the control traffic that every router has sent.
 
-    Bytes are those that went through the proxy, where there is one; else,
-    like the messages, what the routers that answer count themselves.
+    Bytes are counted by the proxy if the fleet has one. Otherwise they are
+    read, as the messages are, from the counters of the routers that respond.
     """
     sent_bytes: dict[str, float] = {}
     messages: dict[str, float] = {}
@@ -199,7 +208,10 @@
 def _sum_kinds(
     counters: dict[str, float], unit: str, by_kind: dict[str, float]
 ) -> float:
-    """Return the sum over a router's kinds, and add each to `by_kind`."""
+    """Return the sum over a router's message kinds.
+
+    The value of each kind is added to `by_kind`.
+    """
     prefix = f'{_CONTROL_PREFIX}{unit}/'
     found = {
         name.removeprefix(prefix): value
@@ -213,18 +225,25 @@
 
 
 def read_counters(address: str) -> dict[str, float]:
-    """Return a router's counters and gauges, as `name/label`.
+    """Return a router's counters and gauges by `name/label`.
 
     Parameters
     ----------
     address : str
-        The operators' address of the router.
+        The router's address for operators.
+
+    Raises
+    ------
+    http.client.HTTPException
+        The response's status is not 200.
     """
     answer = control.get(
         address, '/metrics', headers=control.sign_in('operator')
     )
     if answer.status != 200:
-        raise http.client.HTTPException(f'/metrics answered {answer.status}')
+        raise http.client.HTTPException(
+            f'/metrics responded with status {answer.status}'
+        )
     found: dict[str, float] = {}
     families = parser.text_string_to_metric_families(answer.body.decode())
     for family in families:
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,8 +1,8 @@
-"""Scenarios: how the client accounts of a deployment load its routers.
+"""Scenarios: the load of a deployment's client accounts on its routers.
 
-Sizes are divided by `SIZE_SCALE`, so that half a minute holds as many
-requests as several minutes of the real sizes; so are the estimates of the
-document's kinds, and so is every figure in tokens.
+Request sizes are divided by `SIZE_SCALE`, so that half a minute has as many
+requests as several minutes with the real sizes. The estimates of the
+document's request kinds and all measures in tokens are scaled alike.
 """
 
 import typing
@@ -11,14 +11,14 @@
 from bench import plans
 
 SIZE_SCALE = 4.0
-# Callers in a closed loop for each slot that an account is due, and some
-# more, so that every account always has requests queued.
+# An account has this many closed-loop callers for each slot of its share, and
+# the spare callers, so that every account always has requests queued.
 _CALLERS_PER_SLOT = 2.0
 _SPARE_CALLERS = 8
 _FLOOD_FACTOR = 5
-_OVERLOAD = 3.0
+_OVERLOAD_FACTOR = 3.0
 _OVERLOAD_QUEUE_REQUESTS = 20
-_WRONG_FACTOR = 10.0
+_ESTIMATE_ERROR_FACTOR = 10.0
 
 
 class Scenario:
@@ -27,12 +27,13 @@
     Parameters
     ----------
     name : str
-        As tables and `--scenario` name it.
+        Name in tables and for the option `--scenario`.
     build : callable
-        Called with the deployment, which it may change, the service and the
-        routers' addresses; returns the traffics.
+        Returns the traffic of each account. Called with the deployment,
+        which the function may change, the service and the routers'
+        addresses.
     seconds : float
-        How long the load runs.
+        Duration of the load.
     """
 
     __slots__ = ('name', 'build', 'seconds')
@@ -52,7 +53,7 @@
 
 
 def scale_estimates(deployment: deployments.Deployment, service: str) -> None:
-    """Divide the estimates of a service's kinds as sizes are divided."""
+    """Divide the estimates of a service's request kinds by `SIZE_SCALE`."""
     for kind in _list_kinds(deployment, service):
         scaled = kind.get('estimate_tokens', 256) / SIZE_SCALE
         kind['estimate_tokens'] = max(1, int(scaled))
@@ -71,10 +72,10 @@
 def build_even(
     deployment: deployments.Deployment, service: str, entries: list[str]
 ) -> list[plans.Traffic]:
-    """Every account is backlogged and asks every router.
+    """Keep every account backlogged, with requests to every router.
 
-    An account sends the kind of request that its place in the document
-    gives it, with that kind's estimate as its mean size.
+    The request kinds are assigned to the accounts in turn. An account's mean
+    request size is the estimate of its kind.
     """
     kinds = _list_kinds(deployment, service)
     shares = deployment.read_shares(service)
@@ -92,8 +93,8 @@
                 kind=kind['name'],
                 callers=callers,
                 mean_tokens=kind['estimate_tokens'],
-                least_tokens=plans.LEAST_TOKENS / SIZE_SCALE,
-                most_tokens=plans.MOST_TOKENS / SIZE_SCALE,
+                least_tokens=plans.MIN_TOKENS / SIZE_SCALE,
+                most_tokens=plans.MAX_TOKENS / SIZE_SCALE,
             )
         )
     return traffics
@@ -102,17 +103,18 @@
 def build_uneven(
     deployment: deployments.Deployment, service: str, entries: list[str]
 ) -> list[plans.Traffic]:
-    """Put the first account on one router, the second on all.
+    """Send requests of the first account to one router, the second to all.
 
-    The third floods one router; each of the rest asks one or two.
+    The third account floods one router. Each other account uses one or two
+    routers.
     """
     traffics = build_even(deployment, service, entries)
     count = len(entries)
     for index, traffic in enumerate(traffics):
-        first = index % count
-        traffic.entries = [entries[first]]
+        entry_index = index % count
+        traffic.entries = [entries[entry_index]]
         if index % 2:
-            traffic.entries.append(entries[(first + 3) % count])
+            traffic.entries.append(entries[(entry_index + 3) % count])
     traffics[1].entries = list(entries)
     traffics[2].callers *= _FLOOD_FACTOR
     return traffics
@@ -121,18 +123,20 @@
 def build_wrong_estimates(
     deployment: deployments.Deployment, service: str, entries: list[str]
 ) -> list[plans.Traffic]:
-    """Make the kinds' estimates ten times too high or too low.
+    """Make the estimates of the kinds ten times too high or too low.
 
-    The last account lies: it names the kind with the least estimate and
-    sends the largest requests.
+    The last account names the kind with the smallest estimate but sends
+    requests of the largest mean size.
     """
     traffics = build_even(deployment, service, entries)
     kinds = _list_kinds(deployment, service)
-    least = min(kinds, key=lambda kind: kind['estimate_tokens'])
-    traffics[-1].kind = least['name']
+    smallest_kind = min(kinds, key=lambda kind: kind['estimate_tokens'])
+    traffics[-1].kind = smallest_kind['name']
     traffics[-1].mean_tokens = max(each.mean_tokens for each in traffics)
     for index, kind in enumerate(kinds):
-        factor = _WRONG_FACTOR if index % 2 else 1 / _WRONG_FACTOR
+        factor = (
+            _ESTIMATE_ERROR_FACTOR if index % 2 else 1 / _ESTIMATE_ERROR_FACTOR
+        )
         kind['estimate_tokens'] = max(1, int(kind['estimate_tokens'] * factor))
     return traffics
 
@@ -140,7 +144,7 @@
 def build_idle_and_return(
     deployment: deployments.Deployment, service: str, entries: list[str]
 ) -> list[plans.Traffic]:
-    """Let every second account pause, and come back for good."""
+    """Make every second account pause twice and then send to the end."""
     traffics = build_even(deployment, service, entries)
     for traffic in traffics[1::2]:
         traffic.active = [[0.0, 6.0], [10.0, 14.0], [17.0, 1e9]]
@@ -150,15 +154,19 @@
 def build_overload(
     deployment: deployments.Deployment, service: str, entries: list[str]
 ) -> list[plans.Traffic]:
-    """Send three times what the engines can do, in an open loop."""
+    """Send three times the capacity of the engines, in an open loop."""
     traffics = build_even(deployment, service, entries)
     shares = deployment.read_shares(service)
     rate = deployments.TOKENS_PER_STEP / deployments.STEP_SECONDS
     capacity = deployment.count_slots(service) * rate
     for traffic in traffics:
-        due = capacity * shares[traffic.account] / sum(shares.values())
+        account_capacity = (
+            capacity * shares[traffic.account] / sum(shares.values())
+        )
         traffic.callers = 0
-        traffic.rate = _OVERLOAD * due / traffic.mean_tokens
+        traffic.rate = (
+            _OVERLOAD_FACTOR * account_capacity / traffic.mean_tokens
+        )
     for account in deployment.document['client_accounts']:
         account['queue_requests'] = _OVERLOAD_QUEUE_REQUESTS
     return traffics
@@ -166,7 +174,8 @@
 
 SCENARIOS = (
     Scenario('even', build_even),
-    # Longer than the rest: the gap of a policy without a bound grows on.
+    # Runs longer than the other scenarios, because the gap of a policy
+    # without a bound keeps growing.
     Scenario('uneven', build_uneven, seconds=60.0),
     Scenario('wrong_estimates', build_wrong_estimates),
     Scenario('idle_and_return', build_idle_and_return),
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,10 +1,10 @@
-"""Tables of plain text for a person's terminal."""
+"""Plain-text tables for terminal output."""
 
 import typing
 
 
 class Table:
-    """Rows under headings, aligned: words to the left, figures right."""
+    """Rows under headings; text is aligned left, numbers right."""
 
     __slots__ = ('_rows',)
 
@@ -12,16 +12,16 @@
         self._rows = [headings]
 
     def add(self, *cells: object) -> None:
-        """Add a row; None shows as a dash."""
-        self._rows.append(tuple(_write(cell) for cell in cells))
+        """Add a row; None is shown as a dash."""
+        self._rows.append(tuple(_format_cell(cell) for cell in cells))
 
     def render(self) -> str:
-        """Return the table as lines."""
+        """Return the table as one string with a line for each row."""
         columns = list(zip(*self._rows, strict=True))
         widths = [max(map(len, column)) for column in columns]
         lines = [
             '  '.join(
-                _align(cell, width)
+                _align_cell(cell, width)
                 for cell, width in zip(row, widths, strict=True)
             ).rstrip()
             for row in self._rows
@@ -30,7 +30,7 @@
         return '\n'.join(lines)
 
 
-def _write(cell: typing.Any) -> str:
+def _format_cell(cell: typing.Any) -> str:
     if cell is None:
         return '-'
     if isinstance(cell, float):
@@ -40,7 +40,7 @@
     return str(cell)
 
 
-def _align(cell: str, width: int) -> str:
+def _align_cell(cell: str, width: int) -> str:
     if cell[:1].isdigit() or cell[:1] == '-':
         return cell.rjust(width)
     return cell.ljust(width)
--- a/tests/features/steps/figures.py
+++ b/tests/features/steps/figures.py
@@ -1,4 +1,4 @@
-"""Steps about the figures of a run."""
+"""Steps for the measures of a run."""
 
 import itertools
 import json
@@ -31,14 +31,16 @@
 
 def _compute_gap_by_definition(series):
     normalised = series.served / series.shares[:, None]
-    worst = 0.0
+    largest_gap = 0.0
     for first, second in itertools.combinations(range(len(normalised)), 2):
         both = series.backlogged[first] & series.backlogged[second]
         for begin, end in itertools.combinations(range(len(both)), 2):
             if both[begin + 1 : end + 1].all():
-                gained = normalised[:, end] - normalised[:, begin]
-                worst = max(worst, abs(gained[first] - gained[second]))
-    return worst
+                growth = normalised[:, end] - normalised[:, begin]
+                largest_gap = max(
+                    largest_gap, abs(growth[first] - growth[second])
+                )
+    return largest_gap
 
 
 @behave.given('the service series of accounts with shares {one:d} and {two:d}')
@@ -60,8 +62,8 @@
 
 
 @behave.then(
-    'the fairness gap of {count:d} random series equals the one by every '
-    'interval'
+    'the fairness gap of {count:d} random series equals the maximum over all '
+    'intervals'
 )
 def check_random_series(context, count):
     random = numpy.random.default_rng(7)
@@ -121,8 +123,8 @@
 
 
 @behave.given(
-    'an observed run with answers of 100 and 50 tokens, a cut one of 70 and '
-    '3 refusals'
+    'an observed run with answers of 100 and 50 tokens, an incomplete one of '
+    '70 and 3 refusals'
 )
 def observe_run(context):
     context.observation = records.Observation(
@@ -165,8 +167,8 @@
 
 
 @behave.given(
-    'a journal entry with one day that passes, one that misses the gate and'
-    ' one that breaks a rule'
+    'a journal entry with one day that passes, one that fails the gate and'
+    ' one that violates a rule'
 )
 def write_entry(context):
     days = [
@@ -187,7 +189,7 @@
 
 @behave.when('the days that do not pass are listed')
 def list_days(context):
-    context.lines = list(gates.tell(context.entry))
+    context.lines = list(gates.list_failures(context.entry))
 
 
 @behave.then('the lines say "{one}" and "{other}", and nothing else')
--- a/tests/features/steps/fleet.py
+++ b/tests/features/steps/fleet.py
@@ -1,4 +1,4 @@
-"""Steps about a whole fleet of real processes."""
+"""Steps for a complete fleet of real processes."""
 
 import copy
 import json
@@ -23,7 +23,7 @@
 _SERVICE = 'chat'
 _ACCOUNT = 'account-1'
 _LENGTH = 25
-_COMMAND_SECONDS = 60
+_COMMAND_TIMEOUT_SECONDS = 60
 
 
 @behave.given('a running fleet of {count:d} routers')
@@ -40,8 +40,8 @@
 
 
 @behave.when(
-    'the fleet is sent prompts of {a:d}, {b:d}, {c:d} and {d:d} words through '
-    'every router'
+    'prompts of {a:d}, {b:d}, {c:d} and {d:d} words are sent through every '
+    'router of the fleet'
 )
 def send_prompts(context, a, b, c, d):
     sender = callers.Callers(plans.Plan(traffics=[], seconds=1.0))
@@ -58,14 +58,14 @@
     context.fleet_records = sender.observation.records
 
 
-@behave.then('each prompt got its own whole answer from the fleet')
+@behave.then('the fleet returned the expected complete answer to each prompt')
 def check_answers(context):
     found = [
         (each.outcome, each.status, each.reason, each.tokens)
         for each in context.fleet_records
     ]
-    whole = (records.DONE, 200, '', _LENGTH)
-    assert found == [whole] * 4 * len(context.fleet.routers), found
+    complete_answer = (records.DONE, 200, '', _LENGTH)
+    assert found == [complete_answer] * 4 * len(context.fleet.routers), found
 
 
 @behave.then('no router of the fleet has a child process')
@@ -103,16 +103,16 @@
     context.measured = runs.execute(run, pathlib.Path(folder.name))
 
 
-@behave.then('the measured fleet gave only whole answers')
+@behave.then('the measured fleet returned only complete answers')
 def check_measured_answers(context):
     outcomes = context.measured.outcomes
     assert outcomes.pop(records.DONE) > 0, outcomes
-    # The end of the run stops those that are in progress.
+    # Requests in progress at the end of the run are stopped.
     assert set(outcomes) <= {records.STOPPED}, outcomes
 
 
 @behave.then(
-    "the measured fleet's fields are all there, and its gap is within its "
+    "the measured fleet's fields are all present, and its gap is within its "
     'bound'
 )
 def check_measured_fields(context):
@@ -134,15 +134,15 @@
         or deployments.read_password('operator'),
         'COLUMNS': '400',
     }
-    done = subprocess.run(
+    completed = subprocess.run(
         processes.build_python_command('amaranthslip', *arguments),
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
-        timeout=_COMMAND_SECONDS,
+        timeout=_COMMAND_TIMEOUT_SECONDS,
         env=os.environ | operator,
     )
-    context.fleet_command = done.returncode, done.stdout
+    context.fleet_command = completed.returncode, completed.stdout
 
 
 def _read_url(context, name='router-1'):
@@ -168,19 +168,21 @@
     _submit_share(context, 0, base)
 
 
-@behave.when('a stranger asks the fleet for its status')
-def ask_as_stranger(context):
+@behave.when("the fleet's status is requested with a wrong password")
+def request_status_with_wrong_password(context):
     url = _read_url(context)
     _run_command(context, 'status', '--url', url, password='guessed')
 
 
-@behave.when('a router of the fleet is killed and asked for its status')
-def ask_killed_router(context):
+@behave.when('a router of the fleet is killed and its status is requested')
+def request_status_of_killed_router(context):
     context.fleet.kill('router-2')
     _run_command(context, 'status', '--url', _read_url(context, 'router-2'))
 
 
-@behave.then('the fleet\'s command line ended with {code:d} and said "{text}"')
+@behave.then(
+    'the fleet\'s command line exited with {code:d} and printed "{text}"'
+)
 def check_command(context, code, text):
     found = context.fleet_command
     assert found[0] == code and text in found[1], found
@@ -191,7 +193,7 @@
 )
 def check_versions(context, version):
     for name in context.fleet.routers:
-        end = time.monotonic() + _COMMAND_SECONDS
+        end = time.monotonic() + _COMMAND_TIMEOUT_SECONDS
         while True:
             url = _read_url(context, name)
             _run_command(context, 'status', '--json', '--url', url)
@@ -203,7 +205,7 @@
 
 
 @behave.when("the fleet's router restarts while the key-value service is down")
-def restart_without_service(context):
+def restart_without_key_value_service(context):
     context.fleet.key_value.fail('down')
     context.fleet.kill('router-1')
     context.fleet.restart('router-1')
@@ -222,11 +224,11 @@
     assert found == (status, code, True), found
 
 
-@behave.when('the key-value service of the fleet is back')
-def bring_service_back(context):
+@behave.when('the key-value service of the fleet is available again')
+def restore_key_value_service(context):
     context.fleet.key_value.fail('up')
 
 
-@behave.then('the fleet takes requests again')
+@behave.then('the fleet accepts requests again')
 def check_ready(context):
     context.fleet.wait_until_ready()
