--- a/tests/features/fleet.feature
+++ b/tests/features/fleet.feature
@@ -17,9 +17,8 @@
     And the measured fleet's fields are all present, and its gap is within its bound
 
   Scenario: Operators submit to and query a running fleet from the command line
-    # Automation knows the operators' port of a router and has no settings
-    # file. A wrong password, a stale base version and a router that is down
-    # must have different exit codes.
+    # Automation knows a router's operators' port and has no settings file. A wrong
+    # password, a stale base version and a stopped router have different exit codes.
     Given a running fleet of 2 routers
     When the fleet's operator submits a new share on base 1
     Then the fleet's command line exited with 0 and printed "accepted as version 2"
