--- a/examples/claims.py
+++ b/examples/claims.py
@@ -1,6 +1,6 @@
-"""Claim idempotency keys at two instances over a store of your own.
+"""Claims idempotency keys at two instances over a custom store.
 
-Run it: `python examples/claims.py`. It prints what each caller is told.
+Run it with `python examples/claims.py`. It prints the result for each caller.
 """
 
 import contextlib
@@ -35,19 +35,25 @@
 
 
 class MemoryStore:
-    """Any store with a compare-and-swap; an embedder brings its own."""
+    """A store with compare-and-swap; an embedding program supplies its own."""
 
     def __init__(self) -> None:
         self._entries: dict[str, types.SimpleNamespace] = {}
 
     def get(self, key: str) -> types.SimpleNamespace | None:
-        """Return an entry with `value` and `revision`, or None."""
+        """Return the entry of a key with `value` and `revision`, or None."""
         return self._entries.get(key)
 
     def swap(self, key: str, value: bytes, *, expected: int) -> int | None:
-        """Write if the revision is the expected one; None: it is not."""
-        held = self._entries.get(key)
-        revision = held.revision if held else 0
+        """Write a value if the key's revision is the expected one.
+
+        Returns
+        -------
+        int or None
+            The new revision; None if the current revision differs.
+        """
+        current = self._entries.get(key)
+        revision = current.revision if current else 0
         if revision != expected:
             return None
         entry = types.SimpleNamespace(value=value, revision=revision + 1)
@@ -56,20 +62,20 @@
 
 
 class Fleet:
-    """Who is live, and how a message gets to whom, inside one process."""
+    """The member list and message delivery for instances in one process."""
 
     def __init__(self) -> None:
         self.instances: dict[str, claims.Claims] = {}
         self.generation = 0
 
     def live(self) -> list[types.SimpleNamespace]:
-        """Return the members by whose names collectors are picked."""
+        """Return the live members; collectors are picked by their names."""
         return [types.SimpleNamespace(name=name) for name in self.instances]
 
     def join(self, name: str, store: MemoryStore) -> claims.Claims:
-        """Start an instance."""
+        """Create an instance and add it to the fleet."""
         outbox = types.SimpleNamespace(
-            send=lambda to, message: self.send(name, to, message)
+            send=lambda target, message: self.send(name, target, message)
         )
         instance = claims.Claims(
             SETTINGS, store, self, outbox, metrics.Metrics(), name
@@ -78,37 +84,38 @@
         self.generation += 1
         return instance
 
-    def send(self, sender: str, to: str, message: object) -> bool:
-        """Deliver a message; False: there is no such instance."""
-        if to not in self.instances:
+    def send(self, sender: str, target: str, message: object) -> bool:
+        """Deliver a message; return False if the instance does not exist."""
+        if target not in self.instances:
             return False
-        gevent.spawn(self.instances[to].receive, sender, message)
+        gevent.spawn(self.instances[target].receive, sender, message)
         return True
 
 
-def confirm(instance: claims.Claims, key: str) -> str:
-    """Confirm a booking unless it was confirmed before."""
+def confirm_booking(instance: claims.Claims, key: str) -> str:
+    """Confirm a booking unless its idempotency key was claimed before."""
     body = b'{"booking": "b-1"}'
     try:
         claim = instance.claim('agency-1', key, claim_keys.fingerprint(body))
     except errors.RequestRepeated as repeated:
         return f'{repeated.reason}: {repeated}'
-    # Here the request is sent to a backend server. Settle it as DONE when
-    # the answer is known, as NOT_RUN only if no byte of it left.
+    # A real program sends the request to a backend server here. Settle the
+    # claim as DONE when the response is known, and as NOT_RUN only if no byte
+    # of the request was sent.
     claim.settle(claims.ClaimState.DONE)
     return 'confirmed'
 
 
 def main() -> None:
-    """Confirm one booking from two instances."""
+    """Send the same booking to two instances, then one with another key."""
     with contextlib.ExitStack() as stack:
         fleet, store = Fleet(), MemoryStore()
         first = stack.enter_context(fleet.join('hn-a-1', store))
         second = stack.enter_context(fleet.join('hn-b-1', store))
-        print('first caller: ', confirm(first, 'key-1'))
+        print('first caller: ', confirm_booking(first, 'key-1'))
         print('settlement kept:', first.drain(5.0))
-        print('second caller:', confirm(second, 'key-1'))
-        print('another key:  ', confirm(second, 'key-2'))
+        print('second caller:', confirm_booking(second, 'key-1'))
+        print('another key:  ', confirm_booking(second, 'key-2'))
 
 
 if __name__ == '__main__':
--- a/examples/configuration.py
+++ b/examples/configuration.py
@@ -1,7 +1,7 @@
-"""Accept versions of a configuration over a store of your own.
+"""Accepts configuration versions over a custom store.
 
-Run it: `python examples/configuration.py`. It prints what two writers are
-told that change the same version.
+Run it with `python examples/configuration.py`. It prints the results for two
+writers that change the same version.
 """
 
 import copy
@@ -33,7 +33,7 @@
 
 
 class Entry:
-    """A key's value and its revision, which grows with each change."""
+    """A key with its value and the store revision of its last change."""
 
     def __init__(self, key: str, value: bytes, revision: int) -> None:
         self.key = key
@@ -42,23 +42,29 @@
 
 
 class MemoryStore:
-    """Any store with a compare-and-swap; an embedder brings its own."""
+    """A store with compare-and-swap; an embedding program supplies its own."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
         self._revision = 0
 
     def get(self, key: str) -> Entry | None:
-        """Return a key's entry, or None if it is absent."""
+        """Return the entry of a key, or None if the key does not exist."""
         return self._entries.get(key)
 
     def read_prefix(self, prefix: str) -> list[Entry]:
-        """Return every entry whose key starts with the prefix."""
+        """Return the entries whose keys have the prefix, sorted by key."""
         keys = sorted(key for key in self._entries if key.startswith(prefix))
         return [self._entries[key] for key in keys]
 
     def swap(self, key: str, value: bytes, *, expected: int) -> int | None:
-        """Write if the revision is the expected one; None: it is not."""
+        """Write a value if the key's revision is the expected one.
+
+        Returns
+        -------
+        int or None
+            The new revision; None if the current revision differs.
+        """
         if self._read_revision(key) != expected:
             return None
         self._revision += 1
@@ -66,7 +72,7 @@
         return self._revision
 
     def delete(self, key: str, *, expected: int) -> bool:
-        """Delete if the revision is the expected one."""
+        """Delete a key if its revision is the expected one."""
         if self._read_revision(key) != expected:
             return False
         del self._entries[key]
@@ -78,11 +84,11 @@
 
 
 def submit(
-    submission: configuration.Submission, values: dict, *, author: str
+    submission: configuration.Submission, document: dict, *, author: str
 ) -> None:
-    """Submit a change of version 1 and print what the writer is told."""
+    """Submit a document based on version 1 and print the result."""
     try:
-        accepted = submission.submit(values, base=1, author=author)
+        accepted = submission.submit(document, base=1, author=author)
     except errors.ConfigurationConflict as conflict:
         print(f'{author}: conflict, {conflict.current} is accepted already')
         print(f'  it changed: {conflict.theirs}')
@@ -91,7 +97,7 @@
 
 
 def main() -> None:
-    """Submit a first version, then two changes of it."""
+    """Submit a first version, then two concurrent changes to it."""
     store = configuration.Store(_SETTINGS, MemoryStore())
     holder = configuration.Holder()
     submission = configuration.Submission(
@@ -102,11 +108,11 @@
     first = tomllib.loads(_DOCUMENT.read_text(encoding='utf-8'))
     submission.submit(first, base=0, author='lan')
     print(f'in force: version {holder.document.version}')
-    share, slots = copy.deepcopy(first), copy.deepcopy(first)
-    share['client_accounts'][0]['share'] = 2.5
-    slots['backend_servers'][0]['slots'] = 12
-    submit(submission, share, author='lan')
-    submit(submission, slots, author='automation')
+    share_change, slots_change = copy.deepcopy(first), copy.deepcopy(first)
+    share_change['client_accounts'][0]['share'] = 2.5
+    slots_change['backend_servers'][0]['slots'] = 12
+    submit(submission, share_change, author='lan')
+    submit(submission, slots_change, author='automation')
     print(f'in force: version {holder.document.version}')
 
 
--- a/examples/dispatch.py
+++ b/examples/dispatch.py
@@ -1,10 +1,12 @@
-"""Dispatch over three instances of your own, with messages in memory.
+"""Dispatches requests over three instances with in-memory messages.
 
-Run it: `python examples/dispatch.py`. It prints what each account got.
+Run it with `python examples/dispatch.py`. It prints the tokens that each
+client account received.
 
-Each instance has a scheduler, which holds its callers' requests, and a
-dispatcher, which owns some of the backend servers. They talk by an outbox
-that you bring; here it is a queue and a greenlet for each instance.
+Each instance has a scheduler, which queues the requests of its callers, and a
+dispatcher, which owns some of the backend servers. They exchange messages
+through an outbox that the embedding program supplies; here it is a queue and
+a greenlet for each instance.
 """
 
 import contextlib
@@ -24,8 +26,8 @@
 
 _NAMES = ('poa-a-1', 'poa-b-1', 'canoas-1')
 _SHARES = {'accounting': 3.0, 'auditors': 1.0}
-# Where their callers are: the load is spread unevenly.
-_CALLERS = {
+# Number of callers by client account and instance: deliberately uneven.
+_CALLER_COUNTS = {
     ('accounting', 'poa-a-1'): 24,
     ('accounting', 'poa-b-1'): 2,
     ('auditors', 'canoas-1'): 24,
@@ -35,24 +37,24 @@
 _REQUEST_TOKENS = 60.0
 _STEP_TOKENS = 10.0
 _STEP_SECONDS = 0.005
-_ENOUGH_TOKENS = 24000.0
+_TARGET_TOKENS = 24000.0
 
 
 class Network:
-    """Hands messages to instances, in the order in which they were sent."""
+    """Delivers messages to instances in the order in which they were sent."""
 
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
 
     def send(self, sender: str, name: str, message: object) -> bool:
-        """Put a message in an instance's queue; False: there is none."""
+        """Queue a message; return False if the instance does not exist."""
         if name not in self.instances:
             return False
         self.instances[name].inbox.put((sender, message))
         return True
 
     def connect(self) -> None:
-        """Tell each instance first what the others have, as links do."""
+        """Exchange the initial state between all instances, as links do."""
         for sender in self.instances.values():
             for target in self.instances.values():
                 target.greet(sender.name)
@@ -61,19 +63,19 @@
 
 
 class Outbox:
-    """One instance's way to the others: all that dispatch asks for."""
+    """Sends messages for one instance: the interface that dispatch needs."""
 
     def __init__(self, network: Network, name: str) -> None:
         self._network = network
         self._name = name
 
     def send(self, name: str, message: object) -> bool:
-        """Send a message; False: it will not arrive."""
+        """Send a message; return False if it cannot be delivered."""
         return self._network.send(self._name, name, message)
 
 
 class Instance:
-    """One instance: ownership, a dispatcher and a scheduler."""
+    """An instance with server ownership, a dispatcher and a scheduler."""
 
     def __init__(self, network: Network, name: str) -> None:
         checked = _check_settings(name)
@@ -81,15 +83,15 @@
         holder.apply(_build_document())
         counters = metrics.Metrics()
         outbox = Outbox(network, name)
-        owned = shares.Ownership(checked, _build_roster(name), holder)
+        ownership = shares.Ownership(checked, _build_roster(name), holder)
         self.name = name
         self.inbox: queue.Queue = queue.Queue()
         self.scheduler = shares.Scheduler(
-            checked, owned, holder, outbox, counters
+            checked, ownership, holder, outbox, counters
         )
         self._dispatcher = shares.Dispatcher(
             checked,
-            owned,
+            ownership,
             holder,
             capacity.Health(checked, counters),
             outbox,
@@ -98,26 +100,29 @@
         network.instances[name] = self
 
     def start(self, stack: contextlib.ExitStack) -> None:
-        """Start both parts and the greenlet that takes messages."""
-        stack.callback(gevent.spawn(self._take).kill)
-        for part in (self.scheduler, self._dispatcher):
-            part.start()
-            stack.callback(part.close)
+        """Start the scheduler, the dispatcher and the receiving greenlet."""
+        stack.callback(gevent.spawn(self._receive_messages).kill)
+        for component in (self.scheduler, self._dispatcher):
+            component.start()
+            stack.callback(component.close)
 
     def greet(self, sender: str) -> None:
-        """Note a connection; the number would grow with a restart."""
+        """Record a connection from an instance of incarnation 1.
+
+        A real instance has a higher incarnation after each restart.
+        """
         self._dispatcher.greet(sender, 1)
         self.scheduler.greet(sender, 1)
 
     def build_greeting(self, name: str) -> list[object]:
-        """Return what a peer should hear first."""
+        """Return the messages that open a connection to a peer."""
         question = self._dispatcher.build_question()
         return [question, *self.scheduler.restate(name)]
 
-    def _take(self) -> None:
+    def _receive_messages(self) -> None:
         while True:
             sender, message = self.inbox.get()
-            # Each part takes its own kinds and ignores the rest.
+            # Each component ignores the message kinds of the other.
             self._dispatcher.receive(sender, message)
             self.scheduler.receive(sender, message)
 
@@ -143,7 +148,7 @@
     )
 
 
-def _build_roster(own: str) -> members.Roster:
+def _build_roster(own_name: str) -> members.Roster:
     known = {
         name: members.Member(
             name=name,
@@ -154,7 +159,7 @@
         )
         for name in _NAMES
     }
-    roster = members.Roster(known[own])
+    roster = members.Roster(known[own_name])
     for member in known.values():
         roster.put(member)
     return roster
@@ -184,14 +189,14 @@
 
 
 class Callers:
-    """Callers that send the next request as soon as the last one ended."""
+    """Callers that send a request as soon as the previous one has ended."""
 
     def __init__(self) -> None:
         self.tokens = dict.fromkeys(_SHARES, 0.0)
         self.servers: dict[str, int] = {}
 
-    def call(self, instance: Instance, client_account: str) -> None:
-        """Send requests for ever."""
+    def send_requests(self, instance: Instance, client_account: str) -> None:
+        """Send requests until the greenlet is killed."""
         while True:
             ticket = requests.Ticket(
                 request_id='example',
@@ -204,7 +209,7 @@
             self._stream(instance.scheduler.acquire(ticket))
 
     def _stream(self, lease: shares.SlotLease) -> None:
-        # Here the request goes to lease.backend_server.
+        # A real program sends the request to lease.backend_server here.
         name = lease.backend_server.name
         self.servers[name] = self.servers.get(name, 0) + 1
         for _ in range(int(_REQUEST_TOKENS / _STEP_TOKENS)):
@@ -215,7 +220,7 @@
 
 
 def main() -> None:
-    """Run the callers until enough was delivered, and print who got what."""
+    """Run callers up to a token total and print the service by account."""
     callers = Callers()
     with contextlib.ExitStack() as stack:
         network = Network()
@@ -224,12 +229,14 @@
         for instance in network.instances.values():
             instance.start(stack)
         network.connect()
-        for (client_account, name), count in _CALLERS.items():
+        for (client_account, name), count in _CALLER_COUNTS.items():
             for _ in range(count):
                 instance = network.instances[name]
-                caller = gevent.spawn(callers.call, instance, client_account)
+                caller = gevent.spawn(
+                    callers.send_requests, instance, client_account
+                )
                 stack.callback(caller.kill)
-        while sum(callers.tokens.values()) < _ENOUGH_TOKENS:
+        while sum(callers.tokens.values()) < _TARGET_TOKENS:
             gevent.sleep(0.02)
     print('account     share  tokens  tokens/share')
     for name, tokens in callers.tokens.items():
--- a/examples/fairqueue.py
+++ b/examples/fairqueue.py
@@ -1,10 +1,12 @@
-"""Share one engine between two client accounts, in one process.
+"""Shares one engine between two client accounts in one process.
 
-Run it: `python examples/fairqueue.py`. It prints the service of each.
+Run it with `python examples/fairqueue.py`. It prints the tokens that each
+account received.
 
-The ledger keeps the scores, the service queue says whose request goes next,
-and the slots bound what runs at once. Time is simulated: a step is what an
-engine takes for a few tokens of every stream.
+The ledger keeps the accounts' scores, the service queue selects the account
+whose request runs next, and the slots limit the number of concurrent requests.
+Time is simulated: in one step the engine generates a few tokens for every
+running request.
 """
 
 import random
@@ -17,7 +19,7 @@
 from amaranthslip import shares
 
 _SHARES = {'hung-vuong': 3.0, 'small-agency': 1.0}
-_STEPS = 4000
+_STEP_COUNT = 4000
 _STEP_SECONDS = 0.1
 _STEP_TOKENS = 5.0
 _SLOTS = 4
@@ -44,7 +46,7 @@
 
 
 class Clock:
-    """Simulated seconds."""
+    """A clock that returns simulated seconds."""
 
     def __init__(self) -> None:
         self.seconds = 0.0
@@ -54,14 +56,14 @@
 
 
 class Engine:
-    """One engine with its queue: both accounts always have work waiting."""
+    """A simulated engine whose queue is backlogged for both accounts."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.delivered = dict.fromkeys(_SHARES, 0.0)
         self._random = random.Random(1)
-        self._left: dict[int, float] = {}
-        self._ids = 0
+        self._remaining_tokens: dict[int, float] = {}
+        self._last_id = 0
         holder = configuration.Holder()
         holder.apply(_build_document())
         self._slots = capacity.Slots(_SERVER, _SLOTS, clock=self.clock)
@@ -73,40 +75,41 @@
             ),
             holder,
             capacity.Health(_SETTINGS, metrics.Metrics(), clock=self.clock),
-            # This is the accounts' only dispatcher.
+            # This dispatcher's position among the account's dispatchers, from
+            # 0 to 1: there are no others.
             lambda service, client_account: 0.0,
             clock=self.clock,
         )
         self._queue.servers[_SERVER] = self._slots
 
     def step(self) -> None:
-        """Let requests arrive, grant free slots, deliver some tokens."""
+        """Refill the backlog, grant free slots and generate tokens."""
         for client_account in _SHARES:
-            self._let_wait(client_account)
+            self._fill_backlog(client_account)
         while choice := self._queue.choose(1.0, silent=()):
             self._queue.take(choice.demand)
-            self._begin(choice.demand.client_account)
+            self._start_request(choice.demand.client_account)
         for holding in list(self._slots.holdings.values()):
-            self._deliver(holding)
+            self._generate_tokens(holding)
         self.clock.seconds += _STEP_SECONDS
 
-    def _let_wait(self, client_account: str) -> None:
-        began = self._queue.backlog.set(
+    def _fill_backlog(self, client_account: str) -> None:
+        became_backlogged = self._queue.backlog.set(
             _ENTRY,
             client_account,
             count=8,
             since=self.clock(),
             estimate=150.0,
         )
-        if began:
+        if became_backlogged:
             self._queue.ledger.begin(client_account, 0.0)
             self._queue.ledger.expect(client_account, 150.0)
 
-    def _begin(self, client_account: str) -> None:
-        self._ids += 1
+    def _start_request(self, client_account: str) -> None:
+        self._last_id += 1
         self._slots.hold(
             capacity.Holding(
-                id=self._ids,
+                id=self._last_id,
                 entry=_ENTRY,
                 service=self._queue.name,
                 client_account=client_account,
@@ -115,14 +118,16 @@
                 granted=self.clock(),
             )
         )
-        self._queue.ledger.grant(client_account, _ENTRY, self._ids)
-        # What a request costs shows only when it ends.
-        self._left[self._ids] = self._random.uniform(20.0, 300.0)
+        self._queue.ledger.grant(client_account, _ENTRY, self._last_id)
+        # The cost of a request is unknown to the queue until it ends.
+        self._remaining_tokens[self._last_id] = self._random.uniform(
+            20.0, 300.0
+        )
 
-    def _deliver(self, holding: capacity.Holding) -> None:
+    def _generate_tokens(self, holding: capacity.Holding) -> None:
         client_account = holding.client_account
-        tokens = min(_STEP_TOKENS, self._left[holding.id])
-        self._left[holding.id] -= tokens
+        tokens = min(_STEP_TOKENS, self._remaining_tokens[holding.id])
+        self._remaining_tokens[holding.id] -= tokens
         self.delivered[client_account] += tokens
         self._queue.ledger.charge(
             client_account,
@@ -132,7 +137,7 @@
             base=0.0,
             hint=0.0,
         )
-        if self._left[holding.id] <= 0:
+        if self._remaining_tokens[holding.id] <= 0:
             self._slots.free(holding.id)
             self._queue.ledger.release(client_account, _ENTRY, holding.id)
 
@@ -160,9 +165,9 @@
 
 
 def main() -> None:
-    """Serve for a while and print who got what."""
+    """Run the simulation and print the service of each account."""
     engine = Engine()
-    for _ in range(_STEPS):
+    for _ in range(_STEP_COUNT):
         engine.step()
     print('account        share  tokens  tokens/share')
     for name, tokens in engine.delivered.items():
--- a/examples/members.py
+++ b/examples/members.py
@@ -1,9 +1,10 @@
-"""Membership for a program of your own: five members in one process.
+"""Embeds fleet membership in a program: five members in one process.
 
     python examples/members.py
 
-Each member has links, a roster and a detector, as an instance has. One of
-them stops without a word, another one leaves; the rest find out and agree.
+Each member has links, a roster and a detector, as an instance has. One member
+stops without notice and another leaves; the remaining members detect both and
+agree on the live members.
 """
 
 import contextlib
@@ -21,11 +22,11 @@
 from amaranthslip import settings
 
 _NAMES = ('poa-a-1', 'poa-a-2', 'poa-b-1', 'poa-b-2', 'canoas-1')
-_UNUSED = '127.0.0.1:0'
+_UNUSED_ADDRESS = '127.0.0.1:0'
 
 
-class StaticList:
-    """Where the members first hear of one another: a list of your own."""
+class StaticInstanceList:
+    """A fixed list through which members discover each other at startup."""
 
     def __init__(self) -> None:
         self.members: list[members.Member] = []
@@ -34,10 +35,10 @@
         return list(self.members)
 
 
-class Embedded:
-    """One member: what an embedding program puts together."""
+class EmbeddedMember:
+    """The membership components that an embedding program creates."""
 
-    def __init__(self, name: str, listed: StaticList) -> None:
+    def __init__(self, name: str, instance_list: StaticInstanceList) -> None:
         checked = settings.check_settings(
             {
                 'instance': {
@@ -46,9 +47,9 @@
                     'region': 'rs-sul',
                 },
                 'addresses': {
-                    'callers': _UNUSED,
-                    'operators': _UNUSED,
-                    'peers': _UNUSED,
+                    'callers': _UNUSED_ADDRESS,
+                    'operators': _UNUSED_ADDRESS,
+                    'peers': _UNUSED_ADDRESS,
                 },
                 'platform': {
                     'key_value': 'http://127.0.0.1:1',
@@ -71,38 +72,44 @@
         self.roster = roster.Roster(member)
         self.links = links.Links(checked, counters, member, self._receive)
         self.detector = detector.Detector(
-            checked, self.roster, self.links, counters, instance_list=listed
+            checked,
+            self.roster,
+            self.links,
+            counters,
+            instance_list=instance_list,
         )
         self.links.start()
-        listed.members.append(member)
+        instance_list.members.append(member)
 
     def _receive(self, sender: str, message: object) -> None:
-        # An embedding program hands its own kinds of messages elsewhere.
+        # A program with message kinds of its own handles them here.
         self.detector.receive(sender, message)
 
     def close(self) -> None:
         self.detector.close()
         self.links.close()
 
-    def read_names(self) -> list[str]:
+    def read_live_names(self) -> list[str]:
         return [member.name for member in self.roster.live()]
 
 
-def wait_for_agreement(fleet: dict[str, Embedded], names: list[str]) -> None:
-    """Wait until each of these sees just these."""
+def wait_for_agreement(
+    fleet: dict[str, EmbeddedMember], names: list[str]
+) -> None:
+    """Wait until each named member sees exactly the named members as live."""
     with gevent.Timeout(30):
-        while any(fleet[name].read_names() != names for name in names):
+        while any(fleet[name].read_live_names() != names for name in names):
             gevent.sleep(0.05)
     print(f'{len(names)} agree: {", ".join(names)}')
 
 
 def main() -> None:
-    """Show a start, a failure, a planned leave and a pick."""
+    """Show startup, a failure, a planned leave and rendezvous placement."""
     with contextlib.ExitStack() as stack:
-        listed = StaticList()
+        instance_list = StaticInstanceList()
         fleet = {}
         for name in _NAMES:
-            fleet[name] = Embedded(name, listed)
+            fleet[name] = EmbeddedMember(name, instance_list)
             stack.callback(fleet[name].close)
         for each in fleet.values():
             each.detector.start()
@@ -110,10 +117,11 @@
         fleet['poa-a-2'].close()
         wait_for_agreement(fleet, sorted(set(_NAMES) - {'poa-a-2'}))
         fleet['canoas-1'].detector.leave()
-        rest = sorted(set(_NAMES) - {'poa-a-2', 'canoas-1'})
-        wait_for_agreement(fleet, rest)
+        remaining = sorted(set(_NAMES) - {'poa-a-2', 'canoas-1'})
+        wait_for_agreement(fleet, remaining)
         print(
-            'key "auditor" is served by', *rendezvous.pick('auditor', rest, 2)
+            'key "auditor" is served by',
+            *rendezvous.pick('auditor', remaining, 2),
         )
 
 
--- a/release/trim.py
+++ b/release/trim.py
@@ -1,9 +1,9 @@
-"""Removes from a folder of packages what a running router never reads.
+"""Deletes files that a running router never reads from a package folder.
 
     python release/trim.py FOLDER
 
-An instance has no disk, so that whatever the binary unpacks takes memory.
-Prints the bytes before and after.
+An instance has no disk, so every file that the binary unpacks takes memory.
+Prints the size in bytes before and after.
 """
 
 import pathlib
@@ -11,8 +11,8 @@
 import subprocess
 import sys
 
-# Tests of libraries, command-line programs of libraries, and what only a
-# build needs.
+# Tests and command-line programs of libraries, and packages that only a build
+# needs.
 _FOLDERS = (
     '_distutils_hack',
     'bin',
@@ -26,31 +26,34 @@
     'zope/interface/tests',
 )
 _FILES = ('distutils-precedence.pth',)
-_SOURCES = ('.c', '.cpp', '.h', '.hpp', '.pxd', '.pyi', '.pyx')
+_SOURCE_SUFFIXES = ('.c', '.cpp', '.h', '.hpp', '.pxd', '.pyi', '.pyx')
 
 
-def measure(folder: pathlib.Path) -> int:
-    """Return the bytes of all files in a folder."""
+def measure_bytes(folder: pathlib.Path) -> int:
+    """Return the total size of all files in a folder, in bytes."""
     return sum(
         path.stat().st_size for path in folder.rglob('*') if path.is_file()
     )
 
 
-def remove_unread(folder: pathlib.Path) -> None:
-    """Delete the listed folders and files, sources and bytecode."""
+def remove_unused_files(folder: pathlib.Path) -> None:
+    """Delete the listed folders and files, native sources and bytecode."""
     for name in _FOLDERS:
         shutil.rmtree(folder / name, ignore_errors=True)
     for name in _FILES:
         (folder / name).unlink(missing_ok=True)
     for path in list(folder.rglob('*')):
-        if path.suffix in _SOURCES and path.is_file():
+        if path.suffix in _SOURCE_SUFFIXES and path.is_file():
             path.unlink()
         elif path.name == '__pycache__':
             shutil.rmtree(path)
 
 
 def strip_symbols(folder: pathlib.Path) -> None:
-    """Take symbols that only a debugger needs out of shared libraries."""
+    """Strip symbols that only a debugger needs from shared libraries.
+
+    Does nothing if the program `strip` is not installed.
+    """
     program = shutil.which('strip')
     if program is None:
         return
@@ -61,10 +64,10 @@
 def main() -> None:
     """Trim the folder named on the command line."""
     folder = pathlib.Path(sys.argv[1])
-    before = measure(folder)
-    remove_unread(folder)
+    before = measure_bytes(folder)
+    remove_unused_files(folder)
     strip_symbols(folder)
-    print(f'{folder}: {before} bytes before, {measure(folder)} after')
+    print(f'{folder}: {before} bytes before, {measure_bytes(folder)} after')
 
 
 if __name__ == '__main__':
--- a/tests/features/binary.feature
+++ b/tests/features/binary.feature
@@ -1,13 +1,13 @@
 Feature: The single-file binary
 
-  Scenario: The binary runs a router as one process, from a clean place
-    # An operator copies the one file to an instance that has Python and
-    # nothing else. A bundler that unpacks and then runs a child would leave
-    # two processes, of which a stop may reach only the first.
+  Scenario: The binary runs a router as a single process in a clean environment
+    # An operator copies one file to an instance that has only Python. A bundler
+    # that unpacks itself and starts a child process would leave two processes,
+    # and a stop signal might reach only the first one.
     Given the binary in a folder of its own with an empty environment
     When a router is started from the binary
     Then the binary's router listens for callers and peers
     And the binary's router has no child process
-    And the binary unpacked only below the folder that SHIV_ROOT names
-    When the binary's router is asked to stop
+    And the binary unpacked files only below the folder named by SHIV_ROOT
+    When the binary's router is terminated
     Then the binary's router ends with exit code 0
--- a/tests/features/steps/binary.py
+++ b/tests/features/steps/binary.py
@@ -1,4 +1,4 @@
-"""Steps about the single-file binary."""
+"""Steps that run the single-file binary."""
 
 import pathlib
 import shutil
@@ -15,13 +15,13 @@
 
 
 def _find_python():
-    """Return the interpreter without this environment's packages."""
+    """Return the base interpreter, without the packages of the virtualenv."""
     return str(pathlib.Path(sys.base_prefix) / 'bin' / 'python3')
 
 
 @behave.given('the binary in a folder of its own with an empty environment')
 def copy_binary(context):
-    assert _BINARY.exists(), 'run `make binary` first, as `make test` does'
+    assert _BINARY.exists(), 'dist/amaranthslip is missing; run `make binary`'
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.binary_folder = pathlib.Path(folder.name)
@@ -30,8 +30,9 @@
     context.add_cleanup(ports.close)
     context.binary_addresses = [f'127.0.0.1:{port}' for port in ports.numbers]
     callers, operators, peers = context.binary_addresses
-    # Nothing listens there: a router also starts while its platform is down.
-    url = 'http://127.0.0.1:9'
+    # Nothing listens on this port: a router also starts while the platform's
+    # store is unreachable.
+    store_url = 'http://127.0.0.1:9'
     sections = {
         'instance': {'name': 'a', 'failure_domain': 'b', 'region': 'c'},
         'addresses': {
@@ -39,7 +40,7 @@
             'operators': operators,
             'peers': peers,
         },
-        'platform': {'key_value': url},
+        'platform': {'key_value': store_url},
         'shutdown': {'notice_seconds': 0.1},
     }
     path = context.binary_folder / 'router.toml'
@@ -76,14 +77,16 @@
     assert not children, children
 
 
-@behave.then('the binary unpacked only below the folder that SHIV_ROOT names')
+@behave.then(
+    'the binary unpacked files only below the folder named by SHIV_ROOT'
+)
 def check_folders(context):
     found = {path.name for path in context.binary_folder.iterdir()}
     expected = {'amaranthslip', 'router.toml', 'router.log', 'unpacked'}
     assert found == expected, found
 
 
-@behave.when("the binary's router is asked to stop")
+@behave.when("the binary's router is terminated")
 def stop_router(context):
     context.binary_router.terminate()
 
--- a/tests/features/steps/examples.py
+++ b/tests/features/steps/examples.py
@@ -12,17 +12,17 @@
 
 @behave.when('the example program "{name}" is run')
 def run_example(context, name):
-    ended = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, str(_ROOT / 'examples' / f'{name}.py')],
         capture_output=True,
         text=True,
         timeout=_TIMEOUT_SECONDS,
     )
-    assert ended.returncode == 0, ended.stderr
-    context.example_lines = ended.stdout.splitlines()
+    assert completed.returncode == 0, completed.stderr
+    context.example_lines = completed.stdout.splitlines()
 
 
-@behave.then('its table has the accounts "{first}" and "{second}"')
+@behave.then('its table lists the accounts "{first}" and "{second}"')
 def check_table(context, first, second):
     rows = [line.split() for line in context.example_lines]
     found = {
@@ -30,13 +30,15 @@
     }
     assert set(found) == {first, second}, context.example_lines
     assert all(tokens > 0 for tokens in found.values()), found
-    context.example_service = found
+    context.tokens_per_share = found
 
 
-@behave.then('their tokens by share differ by at most {most:d}')
-def check_gap(context, most):
-    values = context.example_service.values()
-    assert max(values) - min(values) <= most, context.example_service
+@behave.then(
+    'the tokens per share of the two accounts differ by at most {limit:d}'
+)
+def check_difference(context, limit):
+    values = context.tokens_per_share.values()
+    assert max(values) - min(values) <= limit, context.tokens_per_share
 
 
 @behave.then('the example prints "{text}"')
