--- a/bench/patterns.py
+++ b/bench/patterns.py
@@ -5,10 +5,10 @@
 Instances run the real placement, keepers and demand code and send requests to
 simulated engines. An engine processes prompts one after the other and caches
 prompt parts up to its memory size. Time is virtual, so a pattern gives the
-same result in each run. Besides placement, two simple policies are simulated:
-`least_loaded` (the engine with the fewest requests in progress from the same
-instance) and `affinity` (the first engine in rendezvous order, regardless of
-its load).
+same result in each run with the same seed. Besides placement, two simple
+policies are simulated: `least_loaded` (the engine with the fewest requests in
+progress from the same instance) and `affinity` (the first engine in rendezvous
+order, regardless of its load).
 
 The sizes are those of one deployment: six engines that process 38,400 prompt
 tokens per second and cache 240,000 tokens, six instances, and three kinds of
@@ -412,7 +412,7 @@
 
 
 class _AccountWindow:
-    """Tokens and worth requested by one account in one window."""
+    """Tokens, offered worth and earned worth of an account in a window."""
 
     __slots__ = ('tokens', 'offered_worth', 'earned_worth')
 
