--- a/src/amaranthslip/configuration/freshness.py
+++ b/src/amaranthslip/configuration/freshness.py
@@ -5,10 +5,11 @@
 
 
 def read_clock() -> float:
-    """Return seconds that go on while the machine is suspended.
+    """Return seconds of a clock that also counts while the host is suspended.
 
-    The monotonic clock stands still meanwhile: a key that was revoked during
-    ten seconds of suspension would pass as confirmed a moment ago.
+    The monotonic clock stops during suspension: after ten seconds of
+    suspension, a key revoked in that time would still pass as confirmed a
+    moment ago.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -19,7 +20,7 @@
     Parameters
     ----------
     clock : callable
-        Seconds, counting suspensions.
+        Seconds, including the time that the host is suspended.
     """
 
     __slots__ = ('_clock', '_confirmed')
@@ -31,19 +32,22 @@
         self._confirmed = float('-inf')
 
     def read_clock(self) -> float:
-        """Return the present time on the clock that is counted by."""
+        """Return the present time of the clock that ages refer to."""
         return self._clock()
 
-    def confirm(self, at: float) -> None:
-        """Note that all changes up to this moment are in force here."""
-        self._confirmed = max(self._confirmed, at)
+    def confirm(self, timestamp: float) -> None:
+        """Record that all changes up to a timestamp are in force here.
+
+        Timestamps older than the last confirmed one have no effect.
+        """
+        self._confirmed = max(self._confirmed, timestamp)
 
     @property
     def confirmed(self) -> float:
-        """The moment up to which all changes are known."""
+        """The time up to which all changes are known to be in force."""
         return self._confirmed
 
     @property
     def age(self) -> float:
-        """Seconds since then; infinite before the first."""
+        """Seconds since `confirmed`; infinite before the first `confirm`."""
         return self._clock() - self._confirmed
--- a/src/amaranthslip/configuration/routes.py
+++ b/src/amaranthslip/configuration/routes.py
@@ -1,4 +1,4 @@
-"""Routes: which service answers a host and path, and under which terms."""
+"""Routes: which service answers a host and path, with which limits."""
 
 import enum
 import random as random_
@@ -6,7 +6,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What a route's requests allow."""
+    """Whether a request may run again, or is answered by a stream."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -14,7 +14,7 @@
 
 
 class Destination:
-    """A service that gets a part of a route's requests."""
+    """A service that receives a weighted share of a route's requests."""
 
     __slots__ = ('service', 'weight')
 
@@ -24,31 +24,33 @@
 
 
 class Route:
-    """One host and path prefix.
+    """The rules for requests to one host and path prefix.
 
     Parameters
     ----------
     name : str
-        The operator's name for it.
+        The operator's name for the route.
     host, prefix : str
         Requests whose `Host` is `host` and whose path begins with `prefix`.
     kind : RouteKind
-        Whether a request may run more than once.
+        Whether a request may run more than once, and whether answers are
+        streams of events.
     destinations : sequence of Destination
-        Where its requests go, by weight.
+        The services that requests go to, by weight.
     timeout_seconds : float
         The longest time from arrival to the end of the answer.
     objective_seconds : float
-        The time to the answer, or to a stream's first event, that callers
-        count as in time.
+        Latency objective: the longest time to the answer, or to a stream's
+        first event, that counts as in time.
     gap_seconds : float
-        The longest pause between a stream's events that is in time.
+        The longest pause between a stream's events that counts as in time.
     most_runs : int
-        Backend servers that one request may run on, at most.
+        The maximum number of backend servers that one request may run on.
     public : bool
-        Whether requests carry no key.
+        Whether requests are accepted without an API key.
     resumable : bool
-        Whether a stream may go on at another engine after its last event.
+        Whether an interrupted stream may continue on another engine, after
+        the last event sent.
     """
 
     __slots__ = (
@@ -94,16 +96,16 @@
 
     @property
     def streams(self) -> bool:
-        """Whether answers are series of events."""
+        """Whether answers are streams of events."""
         return self.kind is RouteKind.STREAM
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may go to another backend server after it ran."""
+        """Whether a request that ran may be sent to another backend server."""
         return self.kind is RouteKind.IDEMPOTENT or self.resumable
 
     def choose_service(self, random: random_.Random) -> str:
-        """Return the service for one request, drawn by weight."""
+        """Return the service for one request, chosen at random by weight."""
         if len(self.destinations) == 1:
             return self.destinations[0].service
         weights = [each.weight for each in self.destinations]
@@ -111,7 +113,7 @@
 
 
 class CallerLimits:
-    """What the operator allows callers, in bytes and seconds."""
+    """Limits on requests and connections of callers, in bytes and seconds."""
 
     __slots__ = (
         'header_bytes',
@@ -155,9 +157,10 @@
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of a request, or None.
 
-        Prefixes end with a slash, so that cutting the path at its slashes,
-        from the right, tries the longest first: a table of thousands of
-        routes costs as much as one of ten.
+        Prefixes end with a slash, so truncating the path at each slash from
+        the right tries the longest prefix first. The cost depends on the
+        path's depth and not on the number of routes, so that a lookup among
+        thousands of routes takes as long as one among ten.
         """
         prefixes = self._by_host.get(host.lower())
         if prefixes is None:
