--- a/src/amaranthslip/configuration/relaying.py
+++ b/src/amaranthslip/configuration/relaying.py
@@ -1,6 +1,6 @@
-"""Passes the store's changes on to instances that don't ask it themselves.
+"""Relays changes of the store to instances that don't poll it themselves.
 
-See `sources` for who hears from whom.
+See `sources` for which instances receive changes from which others.
 """
 
 import collections
@@ -13,62 +13,64 @@
 from amaranthslip.configuration import staleness as staleness_module
 from amaranthslip.members import roster as roster_module
 
-# Stamps kept of each listener, to find the newest from before a confirmation.
-_STAMPS = 16
+# Stamps kept for each listener, to find the newest one that arrived before a
+# confirmation.
+_MAX_STAMPS_PER_LISTENER = 16
 
 
 class _Listener:
     """An instance that sends stamps, and what it knows of the store."""
 
-    __slots__ = ('stamps', 'revision', 'heard')
+    __slots__ = ('stamps', 'revision', 'last_stamp_at')
 
     def __init__(self) -> None:
-        # (when a stamp came, the stamp), on this instance's clock and on the
-        # listener's.
+        # (arrival time of a stamp on this instance's clock, the stamp, which
+        # is a time on the listener's clock).
         self.stamps: collections.deque[tuple[float, int]] = collections.deque(
-            maxlen=_STAMPS
+            maxlen=_MAX_STAMPS_PER_LISTENER
         )
-        # Of the store, up to which it knows all, or was told.
+        # The store revision up to which all changes are known to the listener
+        # or were sent to it.
         self.revision = 0
-        self.heard = 0.0
+        self.last_stamp_at = 0.0
 
-    def take_stamp(self, now: float, message: messages.StoreStamp) -> None:
-        """Keep a stamp, and what it says of the listener."""
+    def record_stamp(self, now: float, message: messages.StoreStamp) -> None:
+        """Keep a stamp, and the listener's revision that comes with it."""
         self.stamps.append((now, message.stamp))
-        self.heard = now
+        self.last_stamp_at = now
         if message.missed:
             self.revision = message.revision
         else:
             self.revision = max(self.revision, message.revision)
 
-    def find_stamp(self, before: float) -> int:
-        """Return the newest stamp that came before a moment; 0: none."""
-        for came, stamp in reversed(self.stamps):
-            if came <= before:
+    def find_stamp(self, latest_arrival: float) -> int:
+        """Return the newest stamp that arrived by a time; 0: none."""
+        for arrived_at, stamp in reversed(self.stamps):
+            if arrived_at <= latest_arrival:
                 return stamp
         return 0
 
 
 class Relaying:
-    """One instance's part in passing changes on.
+    """Sends and receives relayed changes on one instance.
 
-    How old a message is can't be told from when it came: behind a partition
-    it may have been held up for seconds, and clocks differ. So whoever
-    listens sends stamps of its own clock, and its source returns the newest
-    that it had when it last knew that nothing else had changed. A source may
-    itself go by what its own stamps prove, so that any number of levels may
-    stand between an instance and the store.
+    The age of a message can't be derived from its arrival time: a partition
+    may have delayed it by seconds, and clocks differ between instances. Each
+    listener therefore sends stamps of its own clock, and its source echoes the
+    newest stamp that had arrived when the source last knew that it had all
+    changes. A source may in turn rely on the echoes of its own stamps, so
+    that there may be any number of levels between an instance and the store.
 
     Parameters
     ----------
     roster : Roster
-        Who is alive, and where.
+        The live instances and their failure domains.
     outbox : object
         `send(name, message) -> bool`.
     freshness : Freshness
-        Whose clock stamps are of.
+        Supplies the clock that stamps are read from.
     staleness : Staleness
-        How long listeners and lost watchers are remembered.
+        How long listeners and watchers that lost the store are remembered.
     """
 
     __slots__ = (
@@ -78,7 +80,7 @@
         '_freshness',
         '_staleness',
         '_listeners',
-        '_passed',
+        '_last_relayed_at',
     )
 
     def __init__(
@@ -96,11 +98,20 @@
         self._freshness = freshness
         self._staleness = staleness
         self._listeners: dict[str, _Listener] = {}
-        # When something was last passed on.
-        self._passed = float('-inf')
+        # When changes were last relayed to all listeners.
+        self._last_relayed_at = float('-inf')
 
     def send_stamp(self, revision: int, *, missed: bool) -> None:
-        """Send the sources a stamp, and up to where the store is known."""
+        """Send the sources a stamp, and the store revision known here.
+
+        Parameters
+        ----------
+        revision : int
+            The store revision up to which all changes are known here.
+        missed : bool
+            Whether changes after `revision` did not arrive, so that the
+            sources have to send them again.
+        """
         message = messages.StoreStamp(
             stamp=int(self._freshness.read_clock() * 1000),
             revision=revision,
@@ -109,56 +120,60 @@
         for name in self.sources.list_sources():
             self._outbox.send(name, message)
 
-    def take_stamp(self, sender: str, message: messages.StoreStamp) -> None:
+    def record_stamp(self, sender: str, message: messages.StoreStamp) -> None:
         """Keep a listener's stamp."""
         listener = self._listeners.get(sender)
         if listener is None:
             listener = self._listeners[sender] = _Listener()
-        listener.take_stamp(self._freshness.read_clock(), message)
+        listener.record_stamp(self._freshness.read_clock(), message)
 
     @property
     def has_listeners(self) -> bool:
-        """Whether others rely on what this instance passes on."""
-        self._forget_silent()
+        """Whether other instances rely on the changes relayed from here."""
+        self._drop_silent_listeners()
         return bool(self._listeners)
 
     def forget(self, name: str) -> None:
-        """Drop the stamps of an instance that restarted."""
+        """Drop the stamps and the loss report of a restarted instance."""
         self._listeners.pop(name, None)
-        self.sources.note_reached(name)
+        self.sources.mark_store_reached(name)
 
-    def tell_lost(self) -> None:
-        """Tell that this instance does not reach the store.
+    def announce_store_loss(self) -> None:
+        """Report to other instances that this one does not reach the store.
 
-        The next in rank learn that they are to watch, listeners that others
-        are their watchers now.
+        The candidates that are next in rank learn that they have to watch the
+        store, and listeners learn that their watchers changed.
         """
-        self.sources.note_lost(self.sources.own)
-        told = {*self.sources.list_candidates(), *self._listeners}
-        for name in sorted(told - {self.sources.own}):
+        self.sources.mark_store_lost(self.sources.own_name)
+        recipients = {*self.sources.list_candidates(), *self._listeners}
+        for name in sorted(recipients - {self.sources.own_name}):
             self._outbox.send(name, messages.StoreUnreachable())
 
     @property
-    def is_due(self) -> bool:
-        """Whether listeners wait for news, even if nothing changed."""
-        since = self._freshness.read_clock() - self._passed
-        return since >= self._staleness.stamp_seconds
+    def is_message_due(self) -> bool:
+        """Whether listeners need a message even if nothing changed."""
+        elapsed = self._freshness.read_clock() - self._last_relayed_at
+        return elapsed >= self._staleness.stamp_interval_seconds
 
-    def pass_on(self, revision: int, lapse_seconds: float = 0.0) -> None:
-        """Tell the listeners what changed up to a revision.
+    def relay_changes(self, revision: int, lapse_seconds: float = 0.0) -> None:
+        """Send all listeners the changes up to a store revision.
 
         Parameters
         ----------
+        revision : int
+            The store revision up to which all changes are known here.
         lapse_seconds : float
-            For which servers whose entry is missing stay in use.
+            Seconds for which servers whose entry is missing stay in use.
         """
-        self._forget_silent()
-        self._passed = self._freshness.read_clock()
+        self._drop_silent_listeners()
+        self._last_relayed_at = self._freshness.read_clock()
         for name in self._listeners:
-            self.tell(name, revision, lapse_seconds)
+            self.send_changes(name, revision, lapse_seconds)
 
-    def tell(self, name: str, revision: int, lapse_seconds: float) -> None:
-        """Tell one listener what changed; see `pass_on`."""
+    def send_changes(
+        self, name: str, revision: int, lapse_seconds: float
+    ) -> None:
+        """Send one listener the changes it lacks; see `relay_changes`."""
         listener = self._listeners[name]
         after = max(listener.revision, self.changes.start)
         sent = self._outbox.send(
@@ -174,13 +189,13 @@
         if sent:
             listener.revision = max(after, revision)
 
-    def _forget_silent(self) -> None:
-        """Drop those that turned to other sources, or are gone."""
-        since = self._freshness.read_clock() - self._staleness.bound_seconds
+    def _drop_silent_listeners(self) -> None:
+        """Drop listeners that changed to other sources, or are gone."""
+        oldest = self._freshness.read_clock() - self._staleness.bound_seconds
         silent = [
             name
             for name, listener in self._listeners.items()
-            if listener.heard < since
+            if listener.last_stamp_at < oldest
         ]
         for name in silent:
             del self._listeners[name]
--- a/src/amaranthslip/configuration/sources.py
+++ b/src/amaranthslip/configuration/sources.py
@@ -1,11 +1,13 @@
-"""Sources: from whom an instance hears what changed in the platform's store.
-
-Each call to the store is paid for, and its rates grow more slowly than the
-fleet: whoever asks must be few, however many instances and failure domains
-there are. Three instances of the fleet, its watchers, poll the store. Two of
-each failure domain, its relays, hear from the watchers, and all others hear
-from their relays. Every instance works this out from its own roster; two that
-disagree for a while cost calls or fractions of a second, never correctness.
+"""Sources: from which instances an instance receives changes of the store.
+
+Each call to the platform's store is paid for, and the store's rate limits grow
+more slowly than the fleet, so the number of instances that call the store must
+stay small for any number of instances and failure domains. Three instances of
+the fleet, the watchers, poll the store. Two instances of each failure domain,
+the relays, receive changes from the watchers, and all other instances receive
+changes from their relays. Every instance derives these roles from its own
+roster. Two instances whose rosters differ for a while cause additional calls
+or delays of fractions of a second, but no wrong state.
 """
 
 import typing
@@ -13,25 +15,27 @@
 from amaranthslip import identity
 from amaranthslip.members import members
 
-_WATCH_PURPOSE = 'store-watch'
-_RELAY_PURPOSE = 'store-relay'
-# Three, so that one may be lost and another stopped without a call more.
-WATCHERS = 3
-# Two, so that the loss of one goes unnoticed.
-_RELAYS = 2
-# Watchers that lost the store are replaced by the next in rank, as far down as
-# this. Where all of these lost it, it is down for everybody, and others that
-# tried as well would only add calls.
-_CANDIDATES = 12
-# Bounds for which a watcher that said that it lost the store is passed over by
-# the others, and after which it tries again itself. It says so again each
-# time; were it believed back before, who took its place would give that up.
-_LOST_BOUNDS = 5.0
-_RETRY_BOUNDS = 1.0
+_WATCHER_RANK_KEY = 'store-watch'
+_RELAY_RANK_KEY = 'store-relay'
+# Three, so that one may be lost and another stopped without additional calls
+# to the store.
+WATCHER_COUNT = 3
+# Two, so that the loss of one relay does not interrupt its listeners.
+_RELAYS_PER_DOMAIN = 2
+# Watchers that lost the store are replaced by the next instances in rank, up
+# to this rank. Where all of these lost the store, it is down for the whole
+# fleet, and attempts of further instances would only add calls.
+_MAX_WATCHER_CANDIDATES = 12
+# Bounds for which the other instances skip a watcher that reported the loss of
+# the store, and after which that watcher itself tries the store again. It
+# repeats the report after each failed attempt; if its peers trusted it again
+# before that, its replacement would stop polling.
+_PEER_LOSS_BOUNDS = 5.0
+_OWN_LOSS_BOUNDS = 1.0
 
 
 class Roster(typing.Protocol):
-    """What is asked of the members' roster."""
+    """The part of the members' roster that `Sources` reads."""
 
     generation: int
     member: members.Member
@@ -41,23 +45,23 @@
 
 
 class Sources:
-    """Who watches the store, who relays, and whom this instance hears.
+    """Which instances watch the store, which relay, and which are sources.
 
     Parameters
     ----------
     roster : Roster
-        Who is alive, and where.
+        The live instances and their failure domains.
     clock : callable
-        Seconds, to forget in time who lost the store.
+        Seconds, to expire reports of watchers that lost the store.
     bound_seconds : float
-        Within which a change must be in force.
+        Seconds within which a change must be in force.
     """
 
     __slots__ = (
         '_roster',
         '_clock',
         '_bound_seconds',
-        '_lost',
+        '_loss_times',
         '_generation',
         '_candidates',
         '_relays',
@@ -72,102 +76,120 @@
         self._roster = roster
         self._clock = clock
         self._bound_seconds = bound_seconds
-        # When each of them said that it does not reach the store.
-        self._lost: dict[str, float] = {}
+        # By instance name: when it last reported that the store is
+        # unreachable.
+        self._loss_times: dict[str, float] = {}
         self._generation = -1
         self._candidates: tuple[str, ...] = ()
         self._relays: tuple[str, ...] = ()
 
     @property
-    def own(self) -> str:
+    def own_name(self) -> str:
         """This instance's name."""
         return self._roster.member.name
 
     def list_candidates(self) -> tuple[str, ...]:
-        """Return who may be called on to watch, highest rank first."""
-        self._refresh()
+        """Return the instances that may become watchers, by falling rank."""
+        self._refresh_ranking()
         return self._candidates
 
     def list_watchers(self) -> list[str]:
         """Return the watchers, highest rank first."""
         candidates = self.list_candidates()
-        sound = [name for name in candidates if not self._is_lost(name)]
-        return (sound or list(candidates))[:WATCHERS]
+        reachable = [
+            name for name in candidates if not self._has_lost_store(name)
+        ]
+        return (reachable or list(candidates))[:WATCHER_COUNT]
 
     def list_relays(self) -> tuple[str, ...]:
         """Return the relays of this failure domain."""
-        self._refresh()
+        self._refresh_ranking()
         return self._relays
 
     @property
-    def place(self) -> int | None:
-        """This instance's place among the watchers; None: it is none."""
+    def watcher_index(self) -> int | None:
+        """This instance's position among the watchers; None: not a watcher."""
         watchers = self.list_watchers()
-        return watchers.index(self.own) if self.own in watchers else None
+        return (
+            watchers.index(self.own_name)
+            if self.own_name in watchers
+            else None
+        )
 
     def is_alone(self) -> bool:
-        """Tell whether the roster knows of no other live instance."""
+        """Return whether the roster lists no other live instance."""
         return len(self._roster.live()) < 2
 
     def list_sources(self) -> list[str]:
-        """Return whom this instance hears from.
+        """Return the instances that this instance receives changes from.
 
-        Watchers hear one another: one that loses the store goes on.
+        Watchers are sources of one another, so that a watcher that loses the
+        store still receives changes.
         """
         relays = self.list_relays()
         found = self.list_watchers()
-        if self.own not in relays and self.own not in found:
+        if self.own_name not in relays and self.own_name not in found:
             found = list(relays)
-        return [name for name in found if name != self.own]
+        return [name for name in found if name != self.own_name]
 
-    def note_lost(self, name: str) -> None:
-        """Take it that an instance does not reach the store."""
-        self._lost[name] = self._clock()
+    def mark_store_lost(self, name: str) -> None:
+        """Record that an instance does not reach the store."""
+        self._loss_times[name] = self._clock()
 
-    def note_reached(self, name: str) -> None:
-        """Take it that an instance reaches the store."""
-        self._lost.pop(name, None)
+    def mark_store_reached(self, name: str) -> None:
+        """Record that an instance reaches the store."""
+        self._loss_times.pop(name, None)
 
-    def _is_lost(self, name: str) -> bool:
-        at = self._lost.get(name)
-        if at is None:
+    def _has_lost_store(self, name: str) -> bool:
+        lost_at = self._loss_times.get(name)
+        if lost_at is None:
             return False
-        bounds = _RETRY_BOUNDS if name == self.own else _LOST_BOUNDS
-        return self._clock() - at < bounds * self._bound_seconds
+        bounds = (
+            _OWN_LOSS_BOUNDS if name == self.own_name else _PEER_LOSS_BOUNDS
+        )
+        return self._clock() - lost_at < bounds * self._bound_seconds
 
-    def _refresh(self) -> None:
+    def _refresh_ranking(self) -> None:
         if self._generation == self._roster.generation:
             return
         self._generation = self._roster.generation
         live = self._roster.live()
-        self._candidates = tuple(_rank_candidates(live)[:_CANDIDATES])
+        self._candidates = tuple(
+            _rank_candidates(live)[:_MAX_WATCHER_CANDIDATES]
+        )
         domain = self._roster.member.failure_domain
-        near = [each for each in live if each.failure_domain == domain]
+        domain_members = [
+            each for each in live if each.failure_domain == domain
+        ]
         self._relays = tuple(
-            each.name for each in _rank(_RELAY_PURPOSE, near)[:_RELAYS]
+            each.name
+            for each in _rank(_RELAY_RANK_KEY, domain_members)[
+                :_RELAYS_PER_DOMAIN
+            ]
         )
 
 
 def _rank(
-    purpose: str, live: typing.Iterable[members.Member]
+    key: str, live: typing.Iterable[members.Member]
 ) -> list[members.Member]:
     """Return members by rendezvous hashing, the highest rank first."""
     return sorted(
-        live, key=lambda each: identity.rank(purpose, each.name), reverse=True
+        live, key=lambda each: identity.rank(key, each.name), reverse=True
     )
 
 
 def _rank_candidates(live: typing.Iterable[members.Member]) -> list[str]:
-    """Return members by rank, those first that share no failure domain.
+    """Return members by rank, the first of each failure domain before others.
 
-    A failure domain that is lost then takes one watcher along.
+    The loss of one failure domain then takes at most one watcher with it,
+    where there are as many failure domains as watchers.
     """
     seen: set[str] = set()
-    first, others = [], []
-    for each in _rank(_WATCH_PURPOSE, live):
+    first_in_domain, others = [], []
+    for each in _rank(_WATCHER_RANK_KEY, live):
         if each.failure_domain in seen:
             others.append(each.name)
         else:
             seen.add(each.failure_domain)
-            first.append(each.name)
-    return first + others
+            first_in_domain.append(each.name)
+    return first_in_domain + others
--- a/src/amaranthslip/configuration/staleness.py
+++ b/src/amaranthslip/configuration/staleness.py
@@ -1,56 +1,60 @@
 """Staleness: how old an instance's knowledge of the store may become.
 
-Every wait on the way from a change in the platform's store to an instance is
-a part of one bound, so that their sum stays below it whatever the operator
-sets. An instance hears of a change in one of two ways, and each must end in
-time:
-
-- it polls the store: it asks at the latest when its knowledge is as old as
-  `choose_ask` says, and what is left of the bound is for one failed call, its
-  backoff, and the answer;
-- it hears from its sources: watchers poll, relays pass on. Nothing that a
-  source says shortens this: an instance goes by the age that the echo of its
-  own stamp proves, so that a source may be cut off, frozen or dead in any
-  moment.
-
-Where nothing fails, knowledge is younger than that at all times and only the
-watchers make calls: a poll ends in time, and each level on the way adds no
-more than the age of a stamp.
+Each wait between a change in the platform's store and its application on an
+instance is a fraction of one bound, so that the sum of the waits stays below
+the bound for any setting of the operator. An instance learns of a change in
+one of two ways, and each must complete in time:
+
+- It polls the store. It sends a poll at the latest when its knowledge reaches
+  the age that `choose_fallback_age` returns; the rest of the bound covers one
+  failed call, its backoff, and the answer.
+- It receives changes from its sources: watchers poll the store and relays
+  forward their changes. An instance trusts only the age that the echo of its
+  own stamp proves, and no other statement of a source, so that a source may
+  be partitioned, suspended or killed at any time.
+
+Without faults, knowledge stays younger than this limit and only the watchers
+call the store: each poll ends in time, and each level between the store and
+an instance adds no more than the age of one stamp.
 """
 
 from amaranthslip.configuration import sources
 from amaranthslip import settings as settings_module
 
-# Parts of the bound; their reasons are with the properties. What a listener
-# knows grows as old as a poll of the only watcher left, the pause after a
-# change, the shortest poll, and the age of a stamp on each of two levels.
-_POLL_PART = 0.5
-_GATHER_PART = 0.05
-_LEAST_POLL_PART = 0.08
-_STAMP_PART = 0.06
-_ASK_PART = 0.7
-# A relay asks before its listeners have to: they are many, and then hear.
-_RELAY_ASK_PART = 0.6
-# A poll that nobody else relies on may be longer: one that lives tells of a
-# change at once, and its end only proves that there was none.
-_LONE_POLL_PART = 0.6
-_LEAST_BACKOFF_PART = 0.05
-_MOST_BACKOFF_PART = 0.15
-# Seconds that a watcher waits after a change at most: entries of 85 instances
-# that start at once would else be 85 calls of each watcher, and more than
-# this gathers no more of them.
-_MOST_GATHER_SECONDS = 0.15
-# Seconds between calls while the store fails, at most: instances that lost
-# it together come back within this. 85 of them then make some 250 calls a
-# second, an eighth of what the smallest store takes.
-_MOST_BACKOFF_SECONDS = 0.5
-# The part of the time in which a revoked key must be out that knowledge may
-# be old: the rest is for clocks, and for the request's way to the engine.
-_TRUSTED_PART = 0.9
+# Fractions of the bound; the properties that use them give the reasons. The
+# age of a listener's knowledge is at most the sum of a poll of the only
+# remaining watcher, the pause after a change, the shortest poll, and the age
+# of a stamp on each of two levels.
+_POLL_FRACTION = 0.5
+_COALESCE_FRACTION = 0.05
+_MIN_POLL_FRACTION = 0.08
+_STAMP_INTERVAL_FRACTION = 0.06
+_FALLBACK_POLL_FRACTION = 0.7
+# A relay polls the store before its listeners would: there are many listeners,
+# and the relay's one poll then serves all of them.
+_RELAY_FALLBACK_POLL_FRACTION = 0.6
+# A poll that no other instance relies on may be longer: while the connection
+# works, the store reports a change at once, and the end of the poll only
+# proves that there was none.
+_UNSHARED_POLL_FRACTION = 0.6
+_MIN_BACKOFF_FRACTION = 0.05
+_MAX_BACKOFF_FRACTION = 0.15
+# Longest pause of a watcher after a change, in seconds. Without a pause, the
+# entries of 85 instances that start at once would cost each watcher 85 calls;
+# a longer pause would not coalesce more of them.
+_MAX_COALESCE_SECONDS = 0.15
+# Longest pause between calls while the store fails, in seconds: instances that
+# lost the store together reach it again within this time. 85 of them then
+# make about 250 calls a second, an eighth of what the smallest store handles.
+_MAX_BACKOFF_SECONDS = 0.5
+# Maximum age of knowledge, as a fraction of the time within which a revoked
+# key must be out of use. The rest is for clock differences, and for the
+# transfer of the request to the engine.
+_TRUSTED_FRACTION = 0.9
 
 
 class Staleness:
-    """Derives each wait from what the platform's operator promises.
+    """Derives each wait from the time limits that the operator promises.
 
     Parameters
     ----------
@@ -65,10 +69,11 @@
 
     @property
     def bound_seconds(self) -> float:
-        """Seconds after which each change must be in force here.
+        """Seconds within which each change must be in force here.
 
-        The shorter of two promises: that a version is in force, and that a
-        backend server which leaves gets no more requests.
+        The shorter of two promised times: until a configuration version is in
+        force, and until a backend server that is leaving gets no more
+        requests.
         """
         bounds = self._settings.bounds
         milliseconds = min(
@@ -76,82 +81,109 @@
         )
         return milliseconds / 1000
 
-    def choose_ask(self, *, passes_on: bool) -> float:
-        """Return the age at which an instance asks the store itself.
+    def choose_fallback_age(self, *, relays_changes: bool) -> float:
+        """Return the age of knowledge at which an instance polls the store.
 
         Parameters
         ----------
-        passes_on : bool
-            Whether others rely on what this one hears.
+        relays_changes : bool
+            Whether other instances rely on the changes that this one relays.
+
+        Returns
+        -------
+        float
+            Seconds.
         """
-        part = _RELAY_ASK_PART if passes_on else _ASK_PART
-        return part * self.bound_seconds
+        fraction = (
+            _RELAY_FALLBACK_POLL_FRACTION
+            if relays_changes
+            else _FALLBACK_POLL_FRACTION
+        )
+        return fraction * self.bound_seconds
 
     @property
-    def stamp_seconds(self) -> float:
+    def stamp_interval_seconds(self) -> float:
         """Seconds between the stamps that a listener sends."""
-        return _STAMP_PART * self.bound_seconds
+        return _STAMP_INTERVAL_FRACTION * self.bound_seconds
 
     @property
-    def gather_seconds(self) -> float:
-        """Seconds that a watcher waits after a change before it asks again."""
-        return min(_MOST_GATHER_SECONDS, _GATHER_PART * self.bound_seconds)
+    def coalesce_seconds(self) -> float:
+        """Seconds that a watcher pauses after a change before it polls again.
+
+        Changes during the pause are returned by the same poll.
+        """
+        return min(
+            _MAX_COALESCE_SECONDS, _COALESCE_FRACTION * self.bound_seconds
+        )
 
     @property
-    def least_backoff_seconds(self) -> float:
-        """Seconds between calls while the store fails, at least."""
-        return self._backoff(_LEAST_BACKOFF_PART)
+    def min_backoff_seconds(self) -> float:
+        """Shortest pause between calls while the store fails, in seconds."""
+        return self._limit_backoff(_MIN_BACKOFF_FRACTION)
 
     @property
-    def most_backoff_seconds(self) -> float:
-        """Seconds between calls while the store fails, at most."""
-        return self._backoff(_MOST_BACKOFF_PART)
+    def max_backoff_seconds(self) -> float:
+        """Longest pause between calls while the store fails, in seconds."""
+        return self._limit_backoff(_MAX_BACKOFF_FRACTION)
 
-    def _backoff(self, part: float) -> float:
-        longest = _MOST_BACKOFF_SECONDS * part / _MOST_BACKOFF_PART
-        return min(longest, part * self.bound_seconds)
+    def _limit_backoff(self, fraction: float) -> float:
+        longest = _MAX_BACKOFF_SECONDS * fraction / _MAX_BACKOFF_FRACTION
+        return min(longest, fraction * self.bound_seconds)
 
     @property
     def certain_seconds(self) -> float:
-        """The age up to which 'no such route' and 'no such key' are said.
+        """The maximum age at which a route or key is reported as unknown.
 
-        Callers take these for final, and knowledge that is older may miss a
-        route or key that had to be in force by now.
+        Callers treat these errors as final. Older knowledge may lack a route
+        or key that had to be in force by now.
         """
         return self._settings.bounds.apply_milliseconds / 1000
 
     @property
     def trusted_seconds(self) -> float:
-        """The age up to which keys are relied on, where they must be."""
-        return _TRUSTED_PART * self._settings.bounds.revoke_milliseconds / 1000
+        """The maximum age at which keys are trusted with `fail_closed` set."""
+        return (
+            _TRUSTED_FRACTION
+            * self._settings.bounds.revoke_milliseconds
+            / 1000
+        )
 
-    def choose_poll(
-        self, age: float, *, passes_on: bool, place: int | None = None
+    def choose_poll_seconds(
+        self,
+        age: float,
+        *,
+        relays_changes: bool,
+        watcher_index: int | None = None,
     ) -> float:
         """Return the seconds that a poll waits at the store for a change.
 
         Parameters
         ----------
         age : float
-            Of what is known when it is asked, in seconds. A poll that ended
-            with a change proves only what was known when it began: the next
-            one is the shorter, so that its end proves more in time.
-        passes_on : bool
-            Whether listeners rely on what this one proves. Without any, a
-            call is saved for each change, and some of the others.
-        place : int or None
-            Among watchers that begin together. Each first poll has another
-            length, so that from then on their ends follow one another in
-            even steps, and what listeners know is the younger.
+            Age of what is known when the poll is sent, in seconds. A poll
+            that ended with a change proves only what was known when it began.
+            The next poll is shorter by this age, so that its end proves newer
+            knowledge in time.
+        relays_changes : bool
+            Whether listeners rely on what this poll proves. Without listeners
+            the poll is not shortened after a change, which saves a call for
+            each change and some of the other calls.
+        watcher_index : int or None
+            Position among watchers that begin to poll together. Each first
+            poll has another length, so that the following polls end at even
+            intervals, which keeps the knowledge of listeners younger.
         """
-        longest = _POLL_PART if passes_on else _LONE_POLL_PART
+        longest = _POLL_FRACTION if relays_changes else _UNSHARED_POLL_FRACTION
         seconds = min(
             longest * self.bound_seconds,
             self._settings.platform.poll_seconds,
         )
-        if not passes_on:
+        if not relays_changes:
             return seconds
-        least = min(seconds, _LEAST_POLL_PART * self.bound_seconds)
-        if place is not None:
-            return max(least, seconds * (place + 1) / sources.WATCHERS)
-        return min(seconds, max(least, seconds - age))
+        shortest = min(seconds, _MIN_POLL_FRACTION * self.bound_seconds)
+        if watcher_index is not None:
+            return max(
+                shortest,
+                seconds * (watcher_index + 1) / sources.WATCHER_COUNT,
+            )
+        return min(seconds, max(shortest, seconds - age))
--- a/src/amaranthslip/entries.py
+++ b/src/amaranthslip/entries.py
@@ -1,4 +1,4 @@
-"""Entries: puts what the platform's store holds in force on this instance."""
+"""Entries: applies the entries of the platform's store on this instance."""
 
 import logging
 import typing
@@ -18,18 +18,18 @@
 
 
 class Entries:
-    """Hands each entry to the part that it is for.
+    """Dispatches each entry by its key to the component that applies it.
 
     Parameters
     ----------
     holder : Holder
-        Where configuration versions come into force.
+        Applies configuration versions.
     directory : Directory
-        Gets the backend servers' entries.
+        Receives the entries of backend servers.
     instance_list : StoredInstances
-        Gets the entries of this fleet's instances.
+        Receives the entries of this fleet's instances.
     quarantined : StoredQuarantine
-        Gets the entries of quarantined requests.
+        Receives the entries of quarantined requests.
     metrics : Metrics
         Counts `configuration` events.
     """
@@ -58,74 +58,81 @@
 
     @property
     def ready(self) -> bool:
-        """Whether any configuration is in force."""
+        """Whether a configuration version is in force."""
         return self._holder.ready
 
     @property
     def lapse_seconds(self) -> float:
-        """Seconds for which backend servers without an entry stay in use."""
+        """Seconds for which servers whose entry is missing stay in use."""
         return self._directory.lapse_seconds
 
     def note_return(
         self, seconds: float = directory_module.MISSING_SECONDS
     ) -> None:
-        """Take it that the store is back, and some entries are not yet."""
+        """Record that the store answers again and may still lack some entries.
+
+        Parameters
+        ----------
+        seconds : float
+            Seconds for which backend servers whose entry is missing stay in
+            use.
+        """
         self._directory.note_return(seconds)
 
     def replace(self, entries: typing.Iterable[keyvalue.Entry]) -> None:
-        """Take all entries at once."""
-        servers, listed, quarantined = [], [], []
+        """Replace all known entries by those of a full read."""
+        servers, instance_entries, quarantined_entries = [], [], []
         for entry in entries:
             if entry.key == configurations.KEY:
-                self._take_configuration(entry)
+                self._apply_configuration(entry)
             elif entry.key.startswith(self._instances.prefix):
-                listed.append(entry)
+                instance_entries.append(entry)
             elif entry.key.startswith(self._quarantined.prefix):
-                quarantined.append(entry)
+                quarantined_entries.append(entry)
             elif entry.key.startswith(backends.PREFIX):
                 server = self._read_server(entry)
                 if server is not None:
                     servers.append(server)
         self._directory.replace(servers)
-        self._instances.replace(listed)
-        self._quarantined.replace(quarantined)
+        self._instances.replace(instance_entries)
+        self._quarantined.replace(quarantined_entries)
 
-    def take(self, entry: keyvalue.Entry) -> None:
-        """Take one entry that changed, or was deleted."""
+    def apply(self, entry: keyvalue.Entry) -> None:
+        """Apply one entry that changed or was deleted."""
         if entry.key == configurations.KEY:
-            self._take_configuration(entry)
+            self._apply_configuration(entry)
         elif entry.key.startswith(backends.PREFIX):
-            self._take_server(entry)
+            self._apply_server(entry)
         elif entry.key.startswith(self._instances.prefix):
             self._instances.take(entry)
         elif entry.key.startswith(self._quarantined.prefix):
             self._quarantined.take(entry)
 
-    def _take_configuration(self, entry: keyvalue.Entry) -> None:
+    def _apply_configuration(self, entry: keyvalue.Entry) -> None:
         if entry.value is None:
             return
         try:
-            read = configurations.read_document(entry.value)
+            configuration = configurations.read_document(entry.value)
         except errors.ConfigurationDamaged as error:
             self._metrics.count('configuration', 'damaged')
             _LOG.error('configuration_unreadable', extra={'error': error})
             return
-        if self._holder.apply(read):
+        if self._holder.apply(configuration):
             self._metrics.count('configuration', 'applied')
             self._metrics.set_gauge(
-                'configuration_version', 'in_force', read.version
+                'configuration_version', 'in_force', configuration.version
             )
             _LOG.info(
                 'configuration_in_force',
                 extra={
-                    'version': read.version,
+                    'version': configuration.version,
                     'revision': entry.revision,
-                    'routes': len(read.routes),
-                    'client_accounts': len(read.client_accounts),
+                    'routes': len(configuration.routes),
+                    'client_accounts': len(configuration.client_accounts),
                 },
             )
 
-    def _take_server(self, entry: keyvalue.Entry) -> None:
+    def _apply_server(self, entry: keyvalue.Entry) -> None:
         name = entry.key.removeprefix(backends.PREFIX)
         if entry.value is None:
             self._directory.remove(name)
@@ -139,7 +146,7 @@
     def _read_server(
         self, entry: keyvalue.Entry
     ) -> document.ListedServer | None:
-        """Return the backend server of an entry; None: it can't be read."""
+        """Return an entry's backend server, or None if it is malformed."""
         server = backends.read_backend_server(entry.key, entry.value)
         if server is None:
             self._metrics.count('configuration', 'server_unreadable')
--- a/src/amaranthslip/following.py
+++ b/src/amaranthslip/following.py
@@ -1,8 +1,9 @@
-"""Follows the platform's store: configuration, backend servers, instances.
+"""Follows the entries of the platform's store.
 
-One long poll over all keys serves the three: each call is priced, and a
-waiting one counts as one call, however many keys it covers. A few instances
-of the fleet poll, and pass on what they hear; see `configuration.sources`.
+One long poll over all keys serves configuration, backend servers, instances
+and quarantined requests: each call to the store is paid for, and a long poll
+counts as one call for any number of keys. A few instances of the fleet poll
+and relay the changes; see `configuration.sources`.
 """
 
 import contextlib
@@ -23,35 +24,37 @@
 
 _LOG = logging.getLogger(__name__)
 
-# Seconds that an instance listens for others before it watches: one that
-# does not know them yet takes itself for the only watcher.
-_ALONE_SECONDS = 1.5
-# Calls of others than watchers that fail one after the other, beyond which
-# the wait before the next grows no more.
-_MOST_DOUBLINGS = 2
+# Seconds after its start before an instance watches the store: until its
+# roster lists the other instances, it would rank itself as the only watcher.
+_WATCH_DELAY_SECONDS = 1.5
+# Limits the doublings of the backoff after consecutive failed calls of an
+# instance that is not a watcher.
+_MAX_BACKOFF_DOUBLINGS = 2
 
 
 class Follower:
-    """Keeps what the store says in force on this instance.
+    """Applies the entries of the store and their changes on this instance.
 
     Parameters
     ----------
     staleness : Staleness
-        How long each wait may be.
+        The maximum length of each wait.
     key_value : KeyValue
         The client of the store.
     entries : Entries
-        Where entries come into force.
+        Applies entries to the parts of this instance.
     freshness : Freshness
-        Told up to when all changes are in force.
+        Records up to when all changes are in force.
     relaying : Relaying
-        Passes changes on, or says that others will.
+        Relays changes to listeners, and reports the loss of the store.
     metrics : Metrics
         Counts `store_calls` by their cause.
     random : random.Random
-        Jitter of the backoff.
+        Source of the backoff's jitter.
     pauses : Pauses
-        How it waits.
+        The waits of `run`.
+    stamp_pauses : Pauses
+        The waits of `run_stamp_loop`.
     """
 
     __slots__ = (
@@ -63,14 +66,14 @@
         '_metrics',
         '_random',
         '_revision',
-        '_lost_at',
-        '_failures',
+        '_store_lost_at',
+        '_consecutive_failures',
         '_pauses',
-        '_stamping',
-        '_missed_at',
-        '_proved',
-        '_place',
-        '_started',
+        '_stamp_pauses',
+        '_gap_since',
+        '_sources_confirmed_at',
+        '_last_watcher_index',
+        '_started_at',
         '_exits',
     )
 
@@ -85,7 +88,7 @@
         *,
         random: random_.Random | None = None,
         pauses: pauses_module.Pauses | None = None,
-        stamping: pauses_module.Pauses | None = None,
+        stamp_pauses: pauses_module.Pauses | None = None,
     ) -> None:
         self._staleness = staleness
         self._key_value = key_value
@@ -94,109 +97,116 @@
         self._relaying = relaying
         self._metrics = metrics
         self._random = random or random_.Random()
-        # Of the store, up to which all is known here; None: nothing is.
+        # The store revision up to which all changes are known here; None: the
+        # store has to be read in full.
         self._revision: int | None = None
-        # When the store first failed to answer, of late; None: it answers.
-        self._lost_at: float | None = None
-        self._failures = 0
+        # When the current series of failed calls to the store began; None: the
+        # last call was answered.
+        self._store_lost_at: float | None = None
+        self._consecutive_failures = 0
         self._pauses = pauses or pauses_module.Pauses()
-        self._stamping = stamping or pauses_module.Pauses()
-        # Since when changes that are passed on begin after what is known
-        # here; None: they don't.
-        self._missed_at: float | None = None
-        # The moment up to which sources proved that all changes were told.
-        self._proved = float('-inf')
-        # Among the watchers, at the last poll; None: it was none.
-        self._place: int | None = None
-        self._started = freshness.read_clock()
+        self._stamp_pauses = stamp_pauses or pauses_module.Pauses()
+        # When relayed changes first began after the revision known here, so
+        # that some between are missing; None: none are missing.
+        self._gap_since: float | None = None
+        # The time up to which sources proved that they relayed all changes.
+        self._sources_confirmed_at = float('-inf')
+        # The position among the watchers at the last poll; None: this instance
+        # was no watcher, or the next poll has to be staggered again.
+        self._last_watcher_index: int | None = None
+        self._started_at = freshness.read_clock()
         self._exits = contextlib.ExitStack()
 
     @property
     def reaches_store(self) -> bool:
         """Whether the last call to the store was answered."""
-        return self._lost_at is None
+        return self._store_lost_at is None
 
     @property
-    def missed(self) -> bool:
-        """Whether sources tell of changes after some that are not known."""
-        return self._missed_at is not None
+    def has_gap(self) -> bool:
+        """Whether changes between `revision` and relayed ones are missing."""
+        return self._gap_since is not None
 
     @property
     def revision(self) -> int | None:
-        """Up to which of the store's revisions all is known; None: none."""
+        """The store revision up to which all changes are known, or None."""
         return self._revision
 
     def start(self) -> None:
-        """Begin to follow."""
-        for task in (self.run, self.keep_stamping):
-            self._exits.callback(gevent.spawn(task).kill)
+        """Start the greenlets that follow the store and send stamps."""
+        for loop in (self.run, self.run_stamp_loop):
+            self._exits.callback(gevent.spawn(loop).kill)
 
     def close(self) -> None:
-        """Stop following."""
+        """Stop both greenlets."""
         self._exits.close()
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Follow the store until the greenlet is killed."""
         while True:
             try:
                 self.step()
             except errors.PlatformError as error:
-                self._note_loss(error)
+                self._record_failure(error)
                 self._back_off()
             except Exception:
-                # Whatever one answer held, the next must still be asked
-                # for: an instance that stopped following would go on with
-                # revoked keys until they age out, and then refuse all.
+                # An error in processing one answer must not end the loop: an
+                # instance that stopped following would accept revoked keys
+                # until its knowledge is too old, and then refuse all requests.
                 _LOG.exception('follow_failed')
                 self._revision = None
                 self._back_off()
 
-    def keep_stamping(self) -> None:
-        """Send the sources stamps, for ever.
+    def run_stamp_loop(self) -> None:
+        """Send the sources stamps until the greenlet is killed.
 
-        It goes on while this instance asks the store itself: only an echo
-        shows that the sources are sound again, and that it may stop asking.
+        Stamps are also sent while this instance polls the store itself: only
+        an echo shows that the sources work again, so that it may stop polling.
         """
         while True:
             if self._revision is not None:
-                self._relaying.send_stamp(self._revision, missed=self.missed)
-            self._stamping.wait(self._staleness.stamp_seconds)
+                self._relaying.send_stamp(self._revision, missed=self.has_gap)
+            self._stamp_pauses.wait(self._staleness.stamp_interval_seconds)
 
     def _back_off(self) -> None:
-        # Drawn, so that instances that lost the store together don't come
-        # back to it together.
-        watches = self._relaying.sources.place is not None
-        doublings = 0 if watches else min(self._failures, _MOST_DOUBLINGS)
+        # Jitter, so that instances that lost the store together don't call it
+        # again at the same time.
+        is_watcher = self._relaying.sources.watcher_index is not None
+        doublings = (
+            0
+            if is_watcher
+            else min(self._consecutive_failures, _MAX_BACKOFF_DOUBLINGS)
+        )
         self._pauses.sleep(
             self._random.uniform(
-                self._staleness.least_backoff_seconds,
-                self._staleness.most_backoff_seconds,
+                self._staleness.min_backoff_seconds,
+                self._staleness.max_backoff_seconds,
             )
             * 2**doublings
         )
 
     def step(self) -> None:
-        """Read all, or wait for the next changes; one turn of the loop.
+        """Run one iteration: read all entries, or wait for changes.
 
         Raises
         ------
         PlatformError
-            The store gave no usable answer.
+            The store could not be reached, or its answer was unusable.
         """
         if self._revision is None:
             self._read_all()
             return
         try:
-            if self._watches():
+            if self._should_watch():
                 self._poll('watch')
             elif self.needs_poll:
-                # Waiting there tells of changes as they come: an instance
-                # whose sources are gone else sent to servers that had said
-                # that they leave.
+                # A long poll returns changes as they occur. With single reads
+                # at intervals, an instance whose sources are gone would send
+                # requests to servers that had announced that they leave.
                 self._poll('ask')
             else:
-                self._place = None
-                self._listen()
+                self._last_watcher_index = None
+                self._wait_for_sources()
         except errors.HistoryLost:
             _LOG.warning(
                 'store_history_lost', extra={'revision': self._revision}
@@ -204,176 +214,207 @@
             self._revision = None
 
     def _read_all(self) -> None:
-        asked = self._freshness.read_clock()
-        # One call for all three kinds of entries: instances of a large fleet
-        # start together, and each call is paid for.
+        started_at = self._freshness.read_clock()
+        # One call for all kinds of entries: instances of a large fleet start
+        # together, and each call is paid for.
         self._metrics.count('store_calls', 'read_all')
-        read = self._key_value.read_entries('')
-        self._note_answer()
-        self._entries.replace(read.entries)
-        # What changed while it was read is told by whoever polls.
-        self._revision = read.revision
-        self._relaying.changes.restart(read.revision)
-        self._confirm(asked)
-        # Sources are relied on from here: they have until this knowledge is
-        # old to prove themselves.
-        self._proved = max(self._proved, asked)
-
-    def _watches(self) -> bool:
+        answer = self._key_value.read_entries('')
+        self._record_answer()
+        self._entries.replace(answer.entries)
+        # Changes during the read arrive by the next poll, or from the sources.
+        self._revision = answer.revision
+        self._relaying.changes.restart(answer.revision)
+        self._confirm(started_at)
+        # From here on this instance relies on its sources: they have to echo a
+        # stamp before this knowledge reaches the fallback age.
+        self._sources_confirmed_at = max(
+            self._sources_confirmed_at, started_at
+        )
+
+    def _should_watch(self) -> bool:
         sources = self._relaying.sources
-        if sources.place is None and not sources.is_alone():
+        if sources.watcher_index is None and not sources.is_alone():
             return False
-        since = self._freshness.read_clock() - self._started
-        return since >= _ALONE_SECONDS
+        elapsed = self._freshness.read_clock() - self._started_at
+        return elapsed >= _WATCH_DELAY_SECONDS
 
     @property
-    def _ask_seconds(self) -> float:
-        return self._staleness.choose_ask(
-            passes_on=self._relaying.has_listeners
+    def _fallback_age_seconds(self) -> float:
+        return self._staleness.choose_fallback_age(
+            relays_changes=self._relaying.has_listeners
         )
 
     @property
     def needs_poll(self) -> bool:
-        """Whether this instance has to ask the store itself.
+        """Whether this instance has to poll the store itself.
 
-        What its sources told grows old where they are lost, frozen or cut
-        off, from the store or from here: however that comes, only the age
-        counts. It goes on asking until they echo a stamp that is young. And
-        sources that started a moment ago can't tell again what it missed.
+        Knowledge from the sources ages when they are lost, suspended, or
+        partitioned from the store or from this instance. Only the age counts,
+        not its cause, and polling continues until the sources echo a recent
+        stamp. Changes that are still missing after one stamp interval also
+        require a poll: sources that restarted may be unable to send them.
         """
         now = self._freshness.read_clock()
-        if self._missed_at is not None:
-            if now - self._missed_at >= self._staleness.stamp_seconds:
+        if self._gap_since is not None:
+            if now - self._gap_since >= self._staleness.stamp_interval_seconds:
                 return True
-        return now - self._proved >= self._ask_seconds
+        return now - self._sources_confirmed_at >= self._fallback_age_seconds
 
     def take_stamp(self, sender: str, message: messages.StoreStamp) -> None:
-        """Keep a listener's stamp, to echo it with what is known later."""
-        self._relaying.take_stamp(sender, message)
+        """Record a listener's stamp, to be echoed with later changes.
+
+        A listener that missed changes is sent them at once.
+        """
+        self._relaying.record_stamp(sender, message)
         if message.missed and self._revision is not None:
-            self._relaying.tell(
+            self._relaying.send_changes(
                 sender, self._revision, self._entries.lapse_seconds
             )
 
     def take_loss(self, sender: str) -> None:
-        """Take it that a watcher does not reach the store."""
-        self._relaying.sources.note_lost(sender)
+        """Record that a watcher does not reach the store."""
+        self._relaying.sources.mark_store_lost(sender)
         self._pauses.wake()
 
-    def _listen(self) -> None:
-        # Not a moment longer than what is known may be old.
-        age = self._freshness.read_clock() - self._proved
-        left = self._ask_seconds - age
-        self._pauses.wait(min(self._staleness.stamp_seconds, left))
+    def _wait_for_sources(self) -> None:
+        # The wait ends when the knowledge reaches the fallback age.
+        age = self._freshness.read_clock() - self._sources_confirmed_at
+        remaining = self._fallback_age_seconds - age
+        self._pauses.wait(
+            min(self._staleness.stamp_interval_seconds, remaining)
+        )
 
     def take_changes(
         self, sender: str, message: messages.StoreChanges
     ) -> None:
-        """Take what a source passed on."""
+        """Apply the changes that a source relayed."""
         if self._revision is None:
             return
         if message.lapse:
             self._entries.note_return(message.lapse / 1000)
         if message.after > self._revision:
-            # Something between was not passed on, or came after this: it is
-            # asked for at once, and until it came nothing is confirmed. Once:
-            # a source that can't tell it would be asked without an end.
-            if self._missed_at is None:
-                self._missed_at = self._freshness.read_clock()
-                self._stamping.wake()
+            # Changes in between were lost, or are still under way. A stamp
+            # requests them at once, and nothing is confirmed until they
+            # arrive. Only the first such message triggers a stamp: otherwise
+            # a source that can't send the changes would be asked in a loop.
+            if self._gap_since is None:
+                self._gap_since = self._freshness.read_clock()
+                self._stamp_pauses.wake()
             return
-        self._missed_at = None
-        news = [
+        self._gap_since = None
+        new_entries = [
             each for each in message.entries if each.revision > self._revision
         ]
-        for each in news:
-            self._take(each)
+        for each in new_entries:
+            self._apply_entry(each)
         self._revision = max(self._revision, message.revision)
         if message.echo:
-            # All changes of before the stamp are among these, and this one
-            # knows at least as many.
-            self._prove(message.echo / 1000)
-        if news or (self._place is None and self._relaying.is_due):
-            self._relaying.pass_on(self._revision, self._entries.lapse_seconds)
+            # The source had all changes up to the stamp when it sent this
+            # message, and all of them are now known here.
+            self._confirm_from_sources(message.echo / 1000)
+        if new_entries or (
+            self._last_watcher_index is None and self._relaying.is_message_due
+        ):
+            self._relaying.relay_changes(
+                self._revision, self._entries.lapse_seconds
+            )
 
-    def _prove(self, at: float) -> None:
-        self._proved = max(self._proved, at)
-        self._confirm(at)
+    def _confirm_from_sources(self, timestamp: float) -> None:
+        self._sources_confirmed_at = max(self._sources_confirmed_at, timestamp)
+        self._confirm(timestamp)
 
     def _poll(self, cause: str) -> None:
-        """Wait at the store for changes, take them, and pass them on."""
-        wait_seconds = self._choose_poll()
-        asked = self._freshness.read_clock()
+        """Poll the store for changes, apply them, and relay them.
+
+        Parameters
+        ----------
+        cause : str
+            The label of the call in `store_calls`.
+
+        Raises
+        ------
+        PlatformError
+            The store could not be reached, or its answer was unusable.
+        """
+        wait_seconds = self._choose_poll_seconds()
+        confirmed_at = self._freshness.read_clock()
         self._metrics.count('store_calls', cause)
-        changed = self._key_value.poll(
+        answer = self._key_value.poll(
             '', after=self._revision, wait_seconds=wait_seconds
         )
-        self._note_answer()
-        for entry in changed.entries:
-            # What was passed on meanwhile may be newer than this answer.
+        self._record_answer()
+        for entry in answer.entries:
+            # Changes relayed during the poll may be newer than this answer.
             if entry.revision > self._revision:
-                self._take(_describe(entry))
-        self._revision = max(changed.revision, self._revision)
-        self._missed_at = None
-        took = self._freshness.read_clock() - asked
-        if not changed.entries and took >= wait_seconds:
-            # The store held an empty answer back for all of its wait. It is
-            # counted from the question: the answer may have been long on
-            # its way, behind a partition.
-            asked += wait_seconds
-        self._confirm(asked)
-        self._relaying.pass_on(self._revision, self._entries.lapse_seconds)
-        if changed.entries:
-            # What changes together is told together, by one call.
-            self._pauses.sleep(self._staleness.gather_seconds)
-            self._place = None
-
-    def _choose_poll(self) -> float:
+                self._apply_entry(_build_store_entry(entry))
+        self._revision = max(answer.revision, self._revision)
+        self._gap_since = None
+        elapsed = self._freshness.read_clock() - confirmed_at
+        if not answer.entries and elapsed >= wait_seconds:
+            # The store waited the full time and found no change. The confirmed
+            # time is the start of the poll plus its wait, and not the arrival
+            # of the answer, which a partition may have delayed.
+            confirmed_at += wait_seconds
+        self._confirm(confirmed_at)
+        self._relaying.relay_changes(
+            self._revision, self._entries.lapse_seconds
+        )
+        if answer.entries:
+            # Changes that occur together are fetched by one call.
+            self._pauses.sleep(self._staleness.coalesce_seconds)
+            self._last_watcher_index = None
+
+    def _choose_poll_seconds(self) -> float:
         sources = self._relaying.sources
-        place = sources.place
-        fresh = place != self._place
-        self._place = place
-        # Who takes a lost watcher's place is listened to in a moment.
-        watches = place is not None and not sources.is_alone()
-        return self._staleness.choose_poll(
+        watcher_index = sources.watcher_index
+        is_first_poll = watcher_index != self._last_watcher_index
+        self._last_watcher_index = watcher_index
+        # A replacement for a lost watcher has no listeners yet, but gets them
+        # shortly.
+        is_relied_on = watcher_index is not None and not sources.is_alone()
+        return self._staleness.choose_poll_seconds(
             self._freshness.age,
-            passes_on=watches or self._relaying.has_listeners,
-            # All watchers begin anew after a change, at the same moment.
-            place=place if fresh else None,
+            relays_changes=is_relied_on or self._relaying.has_listeners,
+            # After a change all watchers start their next poll at the same
+            # time, so their first polls are staggered.
+            watcher_index=watcher_index if is_first_poll else None,
         )
 
-    def _confirm(self, at: float) -> None:
+    def _confirm(self, timestamp: float) -> None:
         if self._entries.ready:
-            self._freshness.confirm(at)
+            self._freshness.confirm(timestamp)
 
-    def _take(self, entry: messages.StoreEntry) -> None:
+    def _apply_entry(self, entry: messages.StoreEntry) -> None:
         value = None if entry.deleted else entry.value
-        self._entries.take(keyvalue.Entry(entry.key, value, entry.revision))
+        self._entries.apply(keyvalue.Entry(entry.key, value, entry.revision))
         self._relaying.changes.add(entry)
 
-    def _note_loss(self, error: errors.PlatformError) -> None:
-        self._failures += 1
-        if self._lost_at is None:
-            self._lost_at = self._freshness.read_clock()
+    def _record_failure(self, error: errors.PlatformError) -> None:
+        self._consecutive_failures += 1
+        if self._store_lost_at is None:
+            self._store_lost_at = self._freshness.read_clock()
             _LOG.warning('store_lost', extra={'error': error})
-        if self._relaying.sources.place is not None:
-            self._relaying.tell_lost()
-
-    def _note_answer(self) -> None:
-        self._failures = 0
-        self._relaying.sources.note_reached(self._relaying.sources.own)
-        if self._lost_at is not None:
-            if self._proved <= self._lost_at:
-                # Nobody told of changes meanwhile: the store was away for
-                # all, and entries lapsed though their servers live.
+        if self._relaying.sources.watcher_index is not None:
+            self._relaying.announce_store_loss()
+
+    def _record_answer(self) -> None:
+        self._consecutive_failures = 0
+        self._relaying.sources.mark_store_reached(
+            self._relaying.sources.own_name
+        )
+        if self._store_lost_at is not None:
+            if self._sources_confirmed_at <= self._store_lost_at:
+                # No source confirmed anything during the failure, so the store
+                # was down for all instances, and entries of live servers may
+                # have expired.
                 self._entries.note_return()
-            self._lost_at = None
+            self._store_lost_at = None
             _LOG.info(
                 'store_regained', extra={'age': round(self._freshness.age, 3)}
             )
 
 
-def _describe(entry: keyvalue.Entry) -> messages.StoreEntry:
+def _build_store_entry(entry: keyvalue.Entry) -> messages.StoreEntry:
     return messages.StoreEntry(
         key=entry.key,
         deleted=entry.value is None,
--- a/tests/features/sources.feature
+++ b/tests/features/sources.feature
@@ -1,14 +1,15 @@
-Feature: Few instances ask the store, however many there are
+Feature: Few instances call the store in a fleet of any size
 
-  Scenario Outline: Who asks grows neither with instances nor with domains
-    # Each call to the store is paid for, and its rates grow more slowly than
-    # the fleet. With watchers in each failure domain, a fleet of six domains
-    # paid a sixth of its worth for polls of which most told the same. Whoever
-    # watches and relays tells its failure domain, two of each, and two more.
+  Scenario Outline: The number of watchers is independent of the fleet's size
+    # Each call to the store is paid for, and its rate limits grow more slowly
+    # than the fleet. With watchers in each failure domain, polls that mostly
+    # returned the same changes cost a fleet of six domains a sixth of its worth.
+    # An instance that is both watcher and relay sends to its own failure domain,
+    # to the two relays of each other domain, and to the two other watchers.
     Given a fleet of <instances> instances in <domains> failure domains
-    Then 3 instances watch the store, in as many failure domains as there are
-    And each other instance hears from 2 to 3 others, near or watching
-    And nobody passes on to more than <most> others
+    Then 3 instances watch the store, in as many failure domains as possible
+    And each other instance has 2 to 3 sources, in its failure domain or watchers
+    And no instance is a source of more than <most> others
 
     Examples:
       | instances | domains | most |
@@ -18,49 +19,49 @@
       | 195       | 6       | 47   |
       | 720       | 18      | 78   |
 
-  Scenario: Watchers that lost the store are replaced, and take their place again
-    # The store turns the three watchers away and serves the others. Were they
-    # to stay the watchers, all others would ask by themselves.
+  Scenario: Watchers that lost the store are replaced, and later watch again
+    # The store refuses the three watchers and serves the others. If the refused
+    # ones remained the watchers, all other instances would poll themselves.
     Given a fleet of 80 instances in 3 failure domains
-    When all watchers say that they lost the store
-    Then 3 others watch, who are next in rank
-    And each of the first ones tries again when 1 bound has passed
-    And the first ones watch again when 4 bounds more have passed
+    When all watchers report that they lost the store
+    Then the 3 instances that are next in rank watch
+    And each replaced watcher calls the store again after 1 bound
+    And the replaced watchers watch again after 4 more bounds
 
-  Scenario: The store is down for all
-    # Every candidate fails. If each of hundreds tried as well, the calls of an
-    # outage would cost more than those of a day.
+  Scenario: Only the candidates call a store that is down for all instances
+    # Every candidate fails. If each of hundreds of instances tried as well, the
+    # calls of one outage would cost more than those of a day.
     Given a fleet of 195 instances in 6 failure domains
-    When whoever watches loses the store, one after the other
-    Then no more than 12 instances have tried
+    When each watcher in turn loses the store
+    Then no more than 12 instances have watched
 
-  Scenario: Who turns to another source is told what it missed
-    # A relay starts again and knows only what changed since. Its listeners are
-    # a few changes behind; if each asked the store, a restart would cost as
-    # many calls as it has listeners.
+  Scenario: A listener that changes its source is sent the changes it missed
+    # A relay restarts and knows only the changes since then. Its listeners are
+    # a few changes behind. If each polled the store, a restart would cost as
+    # many calls as the relay has listeners.
     Given changes of the store up to revision 9, of which 5 are kept
-    Then one who knows all up to revision 6 is told 7, 8, 9
-    And one who knows all up to revision 2 is told from revision 4 on
+    Then a listener at revision 6 is sent 7, 8, 9
+    And a listener at revision 2 is sent the changes after revision 4
 
-  Scenario: Who hears of an outage from others keeps the servers in use
-    # Entries of servers lapsed while the store was away. A watcher sees its
-    # return and passes their removal on. An instance that made no call in the
-    # outage would drop every server, and refuse all for two seconds.
-    Given an instance that lists a server and hears from a source
-    When the source tells that the store came back, and the server's entry is gone
+  Scenario: An instance that learns of an outage from a source keeps servers
+    # Entries of servers expired while the store was down. A watcher sees the
+    # store's return and relays their removal. An instance that made no call in
+    # the outage would drop every server, and refuse all requests for two seconds.
+    Given an instance that lists a server and has a source
+    When the source reports that the store is back, and the server's entry gone
     Then the server stays in use
-    And it is gone when its time to come back is over
+    And the server is removed when its grace time is over
 
-  Scenario Outline: Whether entries lapsed is known by what others told
-    # The store turns one instance away for a moment, or is down for all. Only
-    # where it was down may servers without an entry be alive: kept in the first
-    # case, too, one that left gets requests for two seconds more.
-    Given an instance that lists a server and hears from a source
-    When the store fails it, and its source tells <told> meanwhile
-    And the store answers it, and the server's entry is gone
-    Then the server <stays>
+  Scenario Outline: Echoes of sources show whether entries expired in an outage
+    # The store refuses one instance for a moment, or is down for all. Only if
+    # it was down may servers without an entry be alive. If they were also kept
+    # in the first case, one that left would get requests for two more seconds.
+    Given an instance that lists a server and has a source
+    When the store refuses its call, and its source then sends <sent>
+    And the store answers again, and the server's entry is gone
+    Then the server <result>
 
     Examples:
-      | told    | stays          |
-      | nothing | stays in use   |
-      | news    | is out at once |
+      | sent    | result             |
+      | nothing | stays in use       |
+      | an echo | is removed at once |
--- a/tests/features/staleness.feature
+++ b/tests/features/staleness.feature
@@ -1,17 +1,17 @@
-Feature: A change is in force in time, whatever happens to who passes it on
+Feature: A change is in force in time despite faults of instances that relay it
 
-  Three failure domains with a watcher, two relays and, in one of them, others
-  that listen; a store, and a clock that the test moves. Every promise of the
-  operator that these waits serve is one bound; each wait is a part of it.
+  Three failure domains, each with a watcher and two relays, and in one of them
+  also listeners; a store, and a clock that the test advances. The operator's
+  promised times form one bound, and each wait is a fraction of this bound.
 
-  Scenario Outline: Who tells others fails in any moment, and all are in time
-    # A route is dropped. A moment before, the store turned away those who watch
-    # it for a failure domain, or these died, froze or were cut off. An instance
-    # there, whose own way to the store is good, waits for them and serves the
-    # old route past the promised time, because its waits add up to more.
-    Given followers that must know a change within <bound> seconds
-    When <target> may fail in every way, at every moment around a change
-    Then every listener knows each change in time
+  Scenario Outline: A fault of watchers or relays does not delay a change
+    # A route is dropped. Just before, the store refused the watchers of a
+    # failure domain, or they died, froze or were partitioned. An instance there
+    # that can reach the store waits for them and serves the old route past the
+    # promised time, because the sum of its waits exceeds the bound.
+    Given followers that must apply a change within <bound> seconds
+    When every fault hits <target> at each of several times around a change
+    Then every member without a fault applies each change in time
 
     Examples:
       | bound | target       |
@@ -22,13 +22,13 @@
       | 0.5   | all relays   |
       | 10    | all relays   |
 
-  Scenario Outline: A failure domain is lost or cut off, and all are in time
-    # Half of what an instance hears from is gone in one moment, or lives on
-    # behind a partition and tells it nothing.
-    Given followers that must know a change within <bound> seconds
+  Scenario Outline: The loss or partition of a failure domain delays no change
+    # Half of an instance's sources are lost at the same time, or keep running
+    # behind a partition and send it nothing.
+    Given followers that must apply a change within <bound> seconds
     When a failure domain with a watcher is lost around a change
-    And a failure domain is cut off from the others around a change
-    Then every listener knows each change in time
+    And a failure domain is partitioned from the others around a change
+    Then every member without a fault applies each change in time
 
     Examples:
       | bound |
@@ -36,12 +36,12 @@
       | 3     |
       | 10    |
 
-  Scenario Outline: Only watchers make calls while all are sound
-    # Each call to the store is paid for. A listener that asks although its
-    # sources tell it all costs as much as one more watcher.
-    Given followers that must know a change within <bound> seconds
-    When nothing fails for 20 bounds, and something changes <pace>
-    Then only watchers ask the store after its start
+  Scenario Outline: Without faults only watchers call the store
+    # Each call to the store is paid for. A listener that polls although its
+    # sources send it all changes costs as much as another watcher.
+    Given followers that must apply a change within <bound> seconds
+    When no fault occurs for 20 bounds, and a version is written <pace>
+    Then only watchers call the store after the warm-up
 
     Examples:
       | bound | pace               |
@@ -52,17 +52,17 @@
       | 2     | every 0.35 bounds  |
       | 10    | every 0.1 bounds   |
 
-  Scenario: A watcher that lost the store says so at once
-    # All watchers are turned away. The next in rank watch the moment they are
-    # told, not when their knowledge has grown old.
-    Given followers that must know a change within 10 seconds
-    When the store turns all watchers away, and a version comes at once
-    Then every listener knows it within 0.2 seconds
+  Scenario: A watcher that loses the store reports it at once
+    # The store refuses all watchers. The next in rank start to watch when they
+    # receive the report, and not only when their knowledge has grown old.
+    Given followers that must apply a change within 10 seconds
+    When the store refuses all watchers, and a version is written at once
+    Then every listener applies it within 0.2 seconds
 
-  Scenario: Watchers that lost the store leave their place to those after them
-    # The store turns three watchers away and serves the others. They still hear
-    # what changes, from the next in rank, and pass it on. Taken for watchers
-    # again by that, they would displace those, and all would ask by themselves.
-    Given followers that must know a change within 4 seconds
-    When the store turns all watchers away for 4 bounds, and something changes
-    Then after a bound, only they and the next in rank ask it
+  Scenario: Watchers that lost the store stay replaced while it refuses them
+    # The store refuses three watchers and serves the others. They still receive
+    # changes from their replacements and relay them. If this made them watchers
+    # again, they would displace the replacements, and every instance would poll.
+    Given followers that must apply a change within 4 seconds
+    When the store refuses all watchers for 4 bounds, and versions are written
+    Then after one bound, only they and the next in rank call the store
--- a/tests/features/staleness_levels.feature
+++ b/tests/features/staleness_levels.feature
@@ -1,12 +1,12 @@
-Feature: A change is in force in time, though all levels fail at once
+Feature: A change is in force in time if watchers and relays fail together
 
-  Scenario Outline: Watchers and relays fail in any moment, and all are in time
-    # The store turns away all who watch it for the others, and those who pass
-    # on for them die in the same moment. Whoever listens has nobody left, and
-    # serves a dropped route for as long as it waits for them.
-    Given followers that must know a change within <bound> seconds
-    When both levels may fail in every way, at every moment around a change
-    Then every listener knows each change in time
+  Scenario Outline: A joint fault of watchers and relays does not delay a change
+    # The store refuses all watchers, and the relays die at the same time. A
+    # listener has no source left, and would serve a dropped route for as long as
+    # it waits for them.
+    Given followers that must apply a change within <bound> seconds
+    When every fault hits both levels at each of several times around a change
+    Then every member without a fault applies each change in time
 
     Examples:
       | bound |
--- a/tests/features/steps/relaying.py
+++ b/tests/features/steps/relaying.py
@@ -1,4 +1,4 @@
-"""Steps about changes of the store that watchers pass on."""
+"""Steps about changes of the store that watchers relay."""
 
 import json
 
@@ -21,22 +21,23 @@
 from tests.support import callers
 from tests.support import operated
 
-# Six of one failure domain: three of them watch, and two relay.
+# Six members of one failure domain, three of them watchers and two relays.
 _NAMES = ('one', 'two', 'three', 'four', 'five', 'seven')
 
 
 class Store:
-    """A store's revisions and the operator's version; counts calls."""
+    """A store with one configuration version; counts calls."""
 
     def __init__(self):
         self.revision = 1
         self.entry = None
         self.calls = 0
-        # Seconds that the last poll would have waited.
-        self.waited = 0.0
-        # Other keys' changes, and what happens while an answer is under way.
+        # Seconds that the last poll asked the store to wait.
+        self.last_wait_seconds = 0.0
+        # Changes of other keys, and a callback that runs once while an answer
+        # of `poll` is in transit.
         self.changes = []
-        self.meanwhile = None
+        self.during_poll = None
         self.write(1)
 
     def write(self, version):
@@ -50,16 +51,16 @@
 
     def poll(self, prefix, *, after, wait_seconds):
         self.calls += 1
-        self.waited = wait_seconds
+        self.last_wait_seconds = wait_seconds
         entries = [
             each
             for each in (self.entry, *self.changes)
             if each.revision > after
         ]
         answer = keyvalue.Entries(entries, self.revision)
-        meanwhile, self.meanwhile = self.meanwhile, None
-        if meanwhile is not None:
-            meanwhile()
+        during_poll, self.during_poll = self.during_poll, None
+        if during_poll is not None:
+            during_poll()
         return answer
 
     def write_server(self, value):
@@ -69,8 +70,8 @@
         )
 
 
-class Wakes:
-    """Counts how often a member was to send a stamp at once."""
+class WakeCounter:
+    """Counts how often a member was asked to send a stamp at once."""
 
     def __init__(self):
         self.count = 0
@@ -80,24 +81,28 @@
 
 
 class Member:
-    """One instance's follower, with a clock of its own."""
+    """One instance's follower, with its own clock."""
 
-    def __init__(self, context, name, ahead):
+    def __init__(self, context, name, clock_offset):
         self.name = name
         self._context = context
         self.directory = directory.Directory()
-        self.freshness = freshness.Freshness(clock=lambda: context.now + ahead)
+        self.freshness = freshness.Freshness(
+            clock=lambda: context.now + clock_offset
+        )
         self.holder = holder.Holder()
-        known = roster.Roster(patterns.build_member(name))
+        known_members = roster.Roster(patterns.build_member(name))
         for other in _NAMES:
             if other != name:
-                known.put(patterns.build_member(other))
+                known_members.put(patterns.build_member(other))
         settings = callers.build_settings()
-        waits = staleness.Staleness(settings)
-        self.relaying = relaying.Relaying(known, self, self.freshness, waits)
-        counts = metrics.Metrics()
+        staleness_limits = staleness.Staleness(settings)
+        self.relaying = relaying.Relaying(
+            known_members, self, self.freshness, staleness_limits
+        )
+        member_metrics = metrics.Metrics()
         self.follower = following.Follower(
-            waits,
+            staleness_limits,
             context.store,
             entries.Entries(
                 self.holder,
@@ -108,11 +113,11 @@
                 quarantined.StoredQuarantine(
                     settings, context.store, quarantine.Quarantine()
                 ),
-                counts,
+                member_metrics,
             ),
             self.freshness,
             self.relaying,
-            counts,
+            member_metrics,
         )
         self.follower.step()
 
@@ -122,7 +127,7 @@
 
 
 def _deliver(context, kind):
-    """Deliver the messages of a kind that are under way."""
+    """Deliver the pending messages of a kind, and drop all others."""
     waiting, context.messages = context.messages, []
     for sender, name, message in waiting:
         if type(message).__name__ != kind or name not in context.members:
@@ -134,30 +139,31 @@
             member.follower.take_changes(sender, message)
 
 
-def _stamp(member):
-    """Let a member send its sources a stamp."""
+def _send_stamp(member):
+    """Send a stamp from a member to its sources."""
     follower = member.follower
-    member.relaying.send_stamp(follower.revision, missed=follower.missed)
+    member.relaying.send_stamp(follower.revision, missed=follower.has_gap)
 
 
 def _exchange_stamps(context):
-    """Let the listener send a stamp, and hear the watcher's answer."""
-    _stamp(context.listener)
+    """Deliver a stamp of the listener, and the watcher's answer."""
+    _send_stamp(context.listener)
     _deliver(context, 'StoreStamp')
     _deliver(context, 'StoreChanges')
 
 
-def _watch(context):
-    """Let the watcher poll once; its messages are then under way."""
+def _poll_watcher(context):
+    """Run one poll of the watcher; its messages are then pending."""
     context.watcher.follower.step()
 
 
-@behave.given('a listener and its watcher before a store')
-def start(context):
+@behave.given('a listener, its watcher and a store')
+def start_members(context):
     context.now = 1000.0
     context.messages = []
     context.store = Store()
-    # Clocks that differ by an hour: none may be compared with another.
+    # Clocks differ by an hour, so that comparing times of two instances
+    # fails the test.
     found = [
         Member(context, name, 3600.0 * index)
         for index, name in enumerate(_NAMES)
@@ -165,7 +171,8 @@
     context.members = {each.name: each for each in found}
     sources = found[0].relaying.sources
     watchers, relays = sources.list_watchers(), sources.list_relays()
-    # One that polls and passes on itself, so that no other level is between.
+    # A watcher that is also a relay, so that there is no level between it
+    # and the listener.
     context.watcher = next(
         each for each in found if each.name in watchers and each.name in relays
     )
@@ -176,17 +183,17 @@
     )
     context.now += 2
     _exchange_stamps(context)
-    _watch(context)
+    _poll_watcher(context)
     _deliver(context, 'StoreChanges')
     context.calls = context.store.calls
 
 
 @behave.when(
-    'the operator writes version {version:d} and the watcher hears of it'
+    'the operator writes version {version:d} and the watcher receives it'
 )
-def write(context, version):
+def write_and_poll(context, version):
     context.store.write(version)
-    _watch(context)
+    _poll_watcher(context)
     context.calls = context.store.calls
     _deliver(context, 'StoreChanges')
 
@@ -196,14 +203,14 @@
     assert context.listener.holder.document.version == version
 
 
-@behave.then('the listener made no call for it')
+@behave.then('the listener did not call the store')
 def check_calls(context):
     assert context.store.calls == context.calls
 
 
-@behave.when("the watcher's message is held up for {seconds:d} seconds")
-def hold_up(context, seconds):
-    _watch(context)
+@behave.when("the watcher's message is delayed by {seconds:d} seconds")
+def delay_message(context, seconds):
+    _poll_watcher(context)
     context.now += seconds
     _deliver(context, 'StoreChanges')
 
@@ -211,7 +218,7 @@
 @behave.then("the listener's knowledge is {seconds:d} seconds old or more")
 def check_age(context, seconds):
     age = context.listener.freshness.age
-    # Confirmed all the same, by the stamp of before the message.
+    # The message still confirms the stamp that the watcher had before it.
     assert seconds <= age < seconds + 1, age
 
 
@@ -223,137 +230,137 @@
     context.before = context.listener.freshness.confirmed
     context.watcher.relaying.forget(context.listener.name)
     context.now += seconds
-    _stamp(context.listener)
+    _send_stamp(context.listener)
     _deliver(context, 'StoreStamp')
 
 
-@behave.when('the watcher passes on what it knew')
-def pass_on(context):
+@behave.when('the watcher relays what it knew')
+def relay_changes(context):
     revision = context.watcher.follower.revision
-    context.watcher.relaying.pass_on(revision)
+    context.watcher.relaying.relay_changes(revision)
     _deliver(context, 'StoreChanges')
 
 
-@behave.then("the listener's knowledge is not confirmed by it")
+@behave.then("the listener's knowledge is not confirmed again")
 def check_unconfirmed(context):
     assert context.listener.freshness.confirmed == context.before
 
 
-@behave.when('a message is lost, and the next tells of version {version:d}')
-def lose(context, version):
+@behave.when('a message is lost, and the next contains version {version:d}')
+def lose_message(context, version):
     context.store.write(version - 1)
-    _watch(context)
+    _poll_watcher(context)
     context.messages.clear()
     context.store.write(version)
-    _watch(context)
+    _poll_watcher(context)
     _deliver(context, 'StoreChanges')
     assert context.listener.holder.document.version < version
     calls = context.store.calls
     _exchange_stamps(context)
-    assert context.store.calls == calls, 'it asked the store'
+    assert context.store.calls == calls, 'the listener polled the store'
 
 
-@behave.when('the watchers say nothing for {seconds:g} seconds')
-def be_silent(context, seconds):
+@behave.when('the watchers send nothing for {seconds:g} seconds')
+def silence_watchers(context, seconds):
     context.now += seconds
     context.listener.follower.step()
 
 
 @behave.then(
-    'the listener asks the store, and version {version:d} is in force'
+    'the listener polls the store, and version {version:d} is in force'
 )
 @behave.then(
-    'the listener asks its source again, and version {version:d} is in force'
+    'the listener asks its source again, and version {version:d} is applied'
 )
 def check_asked(context, version):
     assert context.listener.holder.document.version == version
 
 
-@behave.then('the listener asks the store, and its knowledge is fresh')
+@behave.then('the listener polls the store, and its knowledge is recent')
 def check_fresh(context):
     assert context.store.calls > context.calls
     assert context.listener.freshness.age < 1
 
 
-@behave.then('the listener waits at the store for what changes next')
+@behave.then('the listener waits for the next change in a long poll')
 def check_waits(context):
     assert context.store.calls == context.calls + 1
-    assert context.store.waited >= 1.0, context.store.waited
+    assert context.store.last_wait_seconds >= 1.0, (
+        context.store.last_wait_seconds
+    )
 
 
 @behave.when(
-    'the listener learns version {new:d}, and then a message tells of version '
-    '{old:d}'
+    'the listener applies version {new:d}, and then a message contains '
+    'version {old:d}'
 )
-def learn_old(context, new, old):
+def deliver_old_version(context, new, old):
     context.store.write(old)
-    _watch(context)
-    late, context.messages = context.messages, []
+    _poll_watcher(context)
+    delayed, context.messages = context.messages, []
     context.store.write(new)
-    _watch(context)
+    _poll_watcher(context)
     _deliver(context, 'StoreChanges')
-    # Its sources were silent for so long that it asks by itself.
+    # The listener's sources are silent until it polls the store itself.
     context.now += 1.5
     context.listener.follower.step()
-    context.messages = late
+    context.messages = delayed
     _deliver(context, 'StoreChanges')
 
 
 @behave.when(
-    'the operator writes version {version:d} and the watchers say nothing for '
-    '{seconds:g} seconds'
+    'the operator writes version {version:d} and the watchers send nothing '
+    'for {seconds:g} seconds'
 )
-def write_unheard(context, version, seconds):
+def write_unreceived(context, version, seconds):
     context.store.write(version)
     context.now += seconds
     context.listener.follower.step()
 
 
-@behave.when('the watcher polls for {seconds:g} seconds, and nothing changes')
-def poll_on(context, seconds):
+@behave.when('the watcher polls for {seconds:g} seconds without a change')
+def poll_without_changes(context, seconds):
     step = 0.2
     for number in range(round(seconds / step)):
         context.now += step
-        _stamp(context.listener)
+        _send_stamp(context.listener)
         _deliver(context, 'StoreStamp')
         assert not context.listener.follower.needs_poll
         if number % 4 == 3:
-            _watch(context)
+            _poll_watcher(context)
             context.calls = context.store.calls
             _deliver(context, 'StoreChanges')
 
 
-@behave.when(
-    'the watcher heard nothing for {seconds:g} seconds and gets stamps'
-)
-def stamp_unheard(context, seconds):
+@behave.when('the watcher gets stamps, but no answer for {seconds:g} seconds')
+def send_stamps_without_answer(context, seconds):
     for _ in range(round(seconds / 0.2)):
         context.now += 0.2
-        _stamp(context.listener)
+        _send_stamp(context.listener)
         _deliver(context, 'StoreStamp')
     _deliver(context, 'StoreChanges')
 
 
-@behave.then('the listener asks the store itself')
+@behave.then('the listener has to poll the store itself')
 def check_needs_poll(context):
     assert context.listener.follower.needs_poll
 
 
 @behave.when(
-    "a server registers, and leaves while the listener's own poll is answered"
+    "a server registers, and leaves while the listener's poll is answered"
 )
-def overtake(context):
+def leave_during_poll(context):
     entry = operated.Backend('s-1', service='llm')
     context.add_cleanup(entry.close)
     context.store.write_server(json.dumps(entry.build_entry()).encode())
 
     def leave():
         context.store.write_server(None)
-        _watch(context)
+        _poll_watcher(context)
         _deliver(context, 'StoreChanges')
 
-    context.store.meanwhile = leave
-    # Its sources were silent for so long that it asks by itself.
+    context.store.during_poll = leave
+    # The listener's sources are silent until it polls the store itself.
     context.now += 1.5
     context.listener.follower.step()
 
@@ -364,43 +371,45 @@
 
 
 @behave.when(
-    'the listener had to ask, and its watcher tells of a change before that'
+    'the listener had to poll, and its watcher relays an earlier change'
 )
-def tell_of_older(context):
+def relay_older_change(context):
     context.now += 3
     context.listener.follower.step()
     assert context.listener.follower.needs_poll
-    _stamp(context.listener)
+    _send_stamp(context.listener)
     _deliver(context, 'StoreStamp')
     context.store.write(2)
-    _watch(context)
-    late, context.messages = context.messages, []
+    _poll_watcher(context)
+    delayed, context.messages = context.messages, []
     context.store.write(3)
     context.listener.follower.step()
-    context.messages = late
+    context.messages = delayed
     _deliver(context, 'StoreChanges')
 
 
-@behave.then('the listener need not ask')
-def check_relies(context):
+@behave.then('the listener need not poll')
+def check_needs_no_poll(context):
     assert not context.listener.follower.needs_poll
 
 
-@behave.when('the watcher tells of changes after one that it can not tell')
-def tell_without_first(context):
+@behave.when('the watcher relays changes that follow one that it can not send')
+def relay_after_gap(context):
     context.store.write(2)
     context.watcher.follower._read_all()
     context.store.write(3)
-    _watch(context)
-    context.wakes = Wakes()
-    context.listener.follower._stamping = context.wakes
+    _poll_watcher(context)
+    context.wake_counter = WakeCounter()
+    context.listener.follower._stamp_pauses = context.wake_counter
     for _ in range(5):
-        context.watcher.relaying.pass_on(context.watcher.follower.revision)
+        context.watcher.relaying.relay_changes(
+            context.watcher.follower.revision
+        )
         _deliver(context, 'StoreChanges')
 
 
-@behave.then('the listener sends one stamp more than usual')
-def check_woken(context):
-    assert context.wakes.count == 1, context.wakes.count
+@behave.then('the listener sends one additional stamp')
+def check_one_stamp(context):
+    assert context.wake_counter.count == 1, context.wake_counter.count
     context.now += 0.2
     context.listener.follower.step()
--- a/tests/features/steps/sources.py
+++ b/tests/features/steps/sources.py
@@ -1,4 +1,4 @@
-"""Steps about who asks the store, and who hears from whom."""
+"""Steps about which instances call the store, and the sources of others."""
 
 import json
 
@@ -40,7 +40,7 @@
 
 
 @behave.given('a fleet of {count:d} instances in {domains:d} failure domains')
-def build(context, count, domains):
+def build_fleet(context, count, domains):
     context.now = 100.0
     context.domains = domains
     everyone = [_build_member(index, domains) for index in range(count)]
@@ -57,13 +57,15 @@
 
 def _list_watchers(context):
     return [
-        name for name, each in context.fleet.items() if each.place is not None
+        name
+        for name, each in context.fleet.items()
+        if each.watcher_index is not None
     ]
 
 
 @behave.then(
-    '{count:d} instances watch the store, in as many failure domains as there'
-    ' are'
+    '{count:d} instances watch the store, in as many failure domains as'
+    ' possible'
 )
 def check_watchers(context, count):
     watchers = _list_watchers(context)
@@ -73,20 +75,20 @@
 
 
 @behave.then(
-    'each other instance hears from {low:d} to {high:d} others, near or'
-    ' watching'
+    'each other instance has {low:d} to {high:d} sources, in its failure'
+    ' domain or watchers'
 )
 def check_sources(context, low, high):
     watchers = _list_watchers(context)
     for name, each in context.fleet.items():
-        heard = each.list_sources()
-        assert name in watchers or low <= len(heard) <= high, (name, heard)
-        for source in heard:
-            near = context.domain_of[source] == context.domain_of[name]
-            assert near or source in watchers, (name, source)
+        found = each.list_sources()
+        assert name in watchers or low <= len(found) <= high, (name, found)
+        for source in found:
+            same_domain = context.domain_of[source] == context.domain_of[name]
+            assert same_domain or source in watchers, (name, source)
 
 
-@behave.then('nobody passes on to more than {most:d} others')
+@behave.then('no instance is a source of more than {most:d} others')
 def check_load(context, most):
     counts = dict.fromkeys(context.fleet, 0)
     for each in context.fleet.values():
@@ -95,60 +97,58 @@
     assert max(counts.values()) <= most, max(counts.values())
 
 
-@behave.when('all watchers say that they lost the store')
-def lose(context):
-    context.first = _list_watchers(context)
+@behave.when('all watchers report that they lost the store')
+def report_losses(context):
+    context.replaced = _list_watchers(context)
     for each in context.fleet.values():
-        for name in context.first:
-            each.note_lost(name)
+        for name in context.replaced:
+            each.mark_store_lost(name)
 
 
-@behave.then('{count:d} others watch, who are next in rank')
+@behave.then('the {count:d} instances that are next in rank watch')
 def check_replaced(context, count):
     watchers = _list_watchers(context)
     assert len(watchers) == count, watchers
-    ranks = next(iter(context.fleet.values())).list_candidates()
-    assert sorted(watchers) == sorted(ranks[count : 2 * count])
+    ranking = next(iter(context.fleet.values())).list_candidates()
+    assert sorted(watchers) == sorted(ranking[count : 2 * count])
 
 
 @behave.then(
-    'each of the first ones tries again when {count:d} bound has passed'
+    'each replaced watcher calls the store again after {count:d} bound'
 )
 def check_retry(context, count):
     context.now += count * _BOUND_SECONDS
-    for name in context.first:
-        assert context.fleet[name].place is not None, name
-    others = set(_list_watchers(context)) - set(context.first)
-    assert len(others) == len(context.first), others
+    for name in context.replaced:
+        assert context.fleet[name].watcher_index is not None, name
+    others = set(_list_watchers(context)) - set(context.replaced)
+    assert len(others) == len(context.replaced), others
 
 
-@behave.then(
-    'the first ones watch again when {count:d} bounds more have passed'
-)
-def check_back(context, count):
+@behave.then('the replaced watchers watch again after {count:d} more bounds')
+def check_watch_again(context, count):
     context.now += count * _BOUND_SECONDS
-    assert sorted(_list_watchers(context)) == sorted(context.first)
+    assert sorted(_list_watchers(context)) == sorted(context.replaced)
 
 
-@behave.when('whoever watches loses the store, one after the other')
-def lose_all(context):
-    context.tried = set()
+@behave.when('each watcher in turn loses the store')
+def lose_store_in_turn(context):
+    context.past_watchers = set()
     for _ in range(len(context.fleet)):
         watchers = _list_watchers(context)
-        context.tried.update(watchers)
+        context.past_watchers.update(watchers)
         for each in context.fleet.values():
-            each.note_lost(watchers[0])
+            each.mark_store_lost(watchers[0])
 
 
-@behave.then('no more than {most:d} instances have tried')
-def check_tried(context, most):
-    assert len(context.tried) <= most, len(context.tried)
+@behave.then('no more than {most:d} instances have watched')
+def check_past_watchers(context, most):
+    assert len(context.past_watchers) <= most, len(context.past_watchers)
 
 
 @behave.given(
     'changes of the store up to revision {last:d}, of which {kept:d} are kept'
 )
-def keep(context, last, kept):
+def keep_changes(context, last, kept):
     before = changes._MOST_KEYS
     changes._MOST_KEYS = kept
     context.add_cleanup(setattr, changes, '_MOST_KEYS', before)
@@ -165,25 +165,25 @@
 
 
 @behave.then(
-    'one who knows all up to revision {known:d} is told {first:d}, {second:d},'
-    ' {third:d}'
+    'a listener at revision {known:d} is sent {first:d}, {second:d}, {third:d}'
 )
-def check_told(context, known, first, second, third):
-    told = [each.revision for each in context.changes.list_since(known)]
-    assert told == [first, second, third], told
+def check_sent(context, known, first, second, third):
+    sent = [each.revision for each in context.changes.list_since(known)]
+    assert sent == [first, second, third], sent
 
 
 @behave.then(
-    'one who knows all up to revision {known:d} is told from revision'
-    ' {start:d} on'
+    'a listener at revision {known:d} is sent the changes after revision'
+    ' {start:d}'
 )
 def check_start(context, known, start):
-    # More than it knows: it sees that something is missing, and asks.
+    # The start is above the listener's revision, so that the listener detects
+    # that changes are missing and polls the store.
     assert known < context.changes.start == start, context.changes.start
 
 
-class Source:
-    """A store that is read once, with one server."""
+class Store:
+    """A store with one server, whose entry a poll returns as deleted."""
 
     def __init__(self, values):
         self._values = values
@@ -202,19 +202,19 @@
         return keyvalue.Entries(found, 2)
 
 
-@behave.given('an instance that lists a server and hears from a source')
-def listen(context):
+@behave.given('an instance that lists a server and has a source')
+def start_listener(context):
     context.now = 100.0
     backend = operated.Backend('s-1', service='llm')
     context.add_cleanup(backend.close)
     settings = callers.build_settings()
-    waits = staleness.Staleness(settings)
-    fresh = freshness.Freshness(clock=lambda: context.now)
-    store = Source(backend.build_entry())
+    staleness_limits = staleness.Staleness(settings)
+    store_freshness = freshness.Freshness(clock=lambda: context.now)
+    store = Store(backend.build_entry())
     counts = metrics.Metrics()
     context.directory = directory.Directory(clock=lambda: context.now)
     context.follower = following.Follower(
-        waits,
+        staleness_limits,
         store,
         entries.Entries(
             holder.Holder(),
@@ -225,9 +225,12 @@
             ),
             counts,
         ),
-        fresh,
+        store_freshness,
         relaying.Relaying(
-            roster.Roster(patterns.build_member('one')), None, fresh, waits
+            roster.Roster(patterns.build_member('one')),
+            None,
+            store_freshness,
+            staleness_limits,
         ),
         counts,
     )
@@ -236,9 +239,9 @@
 
 
 @behave.when(
-    "the source tells that the store came back, and the server's entry is gone"
+    "the source reports that the store is back, and the server's entry gone"
 )
-def come_back(context):
+def report_store_return(context):
     gone = messages.StoreEntry(
         key='servers/s-1', deleted=True, value=b'', revision=3
     )
@@ -256,19 +259,19 @@
     assert context.directory.get('s-1') is not None
 
 
-@behave.then('it is gone when its time to come back is over')
-def check_gone(context):
+@behave.then('the server is removed when its grace time is over')
+def check_removed_late(context):
     context.now += 0.2
     assert context.directory.get('s-1') is None
 
 
-@behave.when('the store fails it, and its source tells {told} meanwhile')
-def fail_alone(context, told):
+@behave.when('the store refuses its call, and its source then sends {sent}')
+def refuse_call(context, sent):
     follower = context.follower
     context.now += 0.1
-    follower._note_loss(errors.PlatformUnavailable('turned away'))
+    follower._record_failure(errors.PlatformUnavailable('connection refused'))
     context.now += 0.1
-    if told == 'news':
+    if sent == 'an echo':
         stamp = int(context.now * 1000)
         context.now += 0.1
         follower.take_changes(
@@ -276,11 +279,11 @@
         )
 
 
-@behave.when("the store answers it, and the server's entry is gone")
-def answer_alone(context):
+@behave.when("the store answers again, and the server's entry is gone")
+def answer_call(context):
     context.follower._poll('ask')
 
 
-@behave.then('the server is out at once')
-def check_out(context):
+@behave.then('the server is removed at once')
+def check_removed(context):
     assert context.directory.get('s-1') is None
--- a/tests/features/steps/staleness.py
+++ b/tests/features/steps/staleness.py
@@ -1,4 +1,4 @@
-"""Steps about how soon a change is in force, with the real followers."""
+"""Steps that check how soon a change is in force, with the real followers."""
 
 import itertools
 import logging
@@ -10,186 +10,194 @@
 from amaranthslip.configuration import staleness
 from tests.support import store_followers
 
-# Bounds that a world runs before a fault, and seconds at least: all polls are
-# out of step by then, and whoever starts no longer takes itself for alone.
-_CALM_BOUNDS = 3
-_CALM_SECONDS = 3.0
-# Moments of the fault within its watcher's poll, and of the change after the
-# fault, in parts of the bound. The worst is a change just behind a fault that
-# comes just behind the last thing that a watcher could prove.
-_PHASES = (0.0, 0.08, 0.16, 0.24, 0.32, 0.4)
-_OFFSETS = (-0.1, 0.005, 0.1, 0.3, 0.7, 1.2)
+# How long a simulation runs before a fault: this many bounds, and at least
+# this many seconds. By then the polls of the watchers are staggered, and the
+# time after the start in which no instance watches is over.
+_WARM_UP_BOUNDS = 3
+_MIN_WARM_UP_SECONDS = 3.0
+# Times of the fault within the watcher's poll, and of the change relative to
+# the fault, as fractions of the bound. The worst case is a change just after a
+# fault that comes just after a watcher last proved its knowledge.
+_FAULT_PHASES = (0.0, 0.08, 0.16, 0.24, 0.32, 0.4)
+_CHANGE_OFFSETS = (-0.1, 0.005, 0.1, 0.3, 0.7, 1.2)
 
 
-@behave.given('followers that must know a change within {bound:g} seconds')
+@behave.given('followers that must apply a change within {bound:g} seconds')
 def start(context, bound):
     context.bound = bound
-    # Thousands of worlds lose their stores: behave would keep every line.
+    # Members of thousands of simulations log the loss of the store, and behave
+    # would capture every line.
     logger = logging.getLogger('amaranthslip')
     context.add_cleanup(logger.setLevel, logger.level)
     logger.setLevel(logging.ERROR)
     context.late = []
-    context.needless = []
+    context.needless_calls = []
 
 
-@behave.given('the part {part} of the bound is {value:g}')
-def change_part(context, part, value):
-    before = getattr(staleness, part)
-    setattr(staleness, part, value)
-    context.add_cleanup(setattr, staleness, part, before)
+@behave.given('the fraction {fraction} of the bound is {value:g}')
+def change_fraction(context, fraction, value):
+    before = getattr(staleness, fraction)
+    setattr(staleness, fraction, value)
+    context.add_cleanup(setattr, staleness, fraction, before)
 
 
-def _choose_calm(bound):
-    return max(_CALM_SECONDS, _CALM_BOUNDS * bound)
+def _choose_warm_up(bound):
+    return max(_MIN_WARM_UP_SECONDS, _WARM_UP_BOUNDS * bound)
 
 
-def _find_late(world, change, label):
-    """Let a change come; return which sound members did not hear in time."""
+def _find_late(simulation, change, label):
+    """Write a change; return the members without a fault that are late."""
     try:
-        world.network.call_at(change, lambda: world.store.write(2))
-        world.advance(change + world.bound)
+        simulation.network.call_at(change, lambda: simulation.store.write(2))
+        simulation.advance(change + simulation.bound)
         return [
             (*label, each.name)
-            for each in world.members.values()
+            for each in simulation.members.values()
             if each.holder.document.version < 2
-            and each.name not in world.faults
+            and each.name not in simulation.faults
         ]
     finally:
-        world.close()
+        simulation.close()
 
 
-def _list_moments(bound):
-    """Return moments of a fault and of a change around it, in seconds."""
-    for phase, offset in itertools.product(_PHASES, _OFFSETS):
-        since = _choose_calm(bound) + phase * bound
+def _list_fault_times(bound):
+    """Yield the times of a fault and of a change around it, in seconds."""
+    for phase, offset in itertools.product(_FAULT_PHASES, _CHANGE_OFFSETS):
+        since = _choose_warm_up(bound) + phase * bound
         yield since, since + offset * bound
 
 
-@behave.when('{target} may fail in every way, at every moment around a change')
-def fail(context, target):
+@behave.when(
+    'every fault hits {target} at each of several times around a change'
+)
+def inject_target_faults(context, target):
     for kind in store_followers.FAULTS:
-        for since, change in _list_moments(context.bound):
-            world = store_followers.World(context.bound)
-            names = world.list_targets(target)
+        for since, change in _list_fault_times(context.bound):
+            simulation = store_followers.Simulation(context.bound)
+            names = simulation.list_targets(target)
             until = since + 5 * context.bound
-            world.break_members(kind, names, since, until)
+            simulation.inject_fault(kind, names, since, until)
             label = (target, kind, since, change)
-            context.late += _find_late(world, change, label)
+            context.late += _find_late(simulation, change, label)
             if context.late:
                 return
 
 
 @behave.when('a failure domain with a watcher is lost around a change')
 def lose_domain(context):
-    for since, change in _list_moments(context.bound):
-        world = store_followers.World(context.bound)
-        names = world.list_targets('a domain')
-        world.break_members('killed', names, since, since + 5 * context.bound)
+    for since, change in _list_fault_times(context.bound):
+        simulation = store_followers.Simulation(context.bound)
+        names = simulation.list_targets('a domain')
+        simulation.inject_fault(
+            'killed', names, since, since + 5 * context.bound
+        )
         label = ('domain', since, change)
-        context.late += _find_late(world, change, label)
+        context.late += _find_late(simulation, change, label)
 
 
-@behave.when('a failure domain is cut off from the others around a change')
-def part(context):
+@behave.when('a failure domain is partitioned from the others around a change')
+def partition_domain(context):
     for domain in store_followers.DOMAINS:
-        for since, change in _list_moments(context.bound):
-            world = store_followers.World(context.bound)
-            world.part(domain, since)
+        for since, change in _list_fault_times(context.bound):
+            simulation = store_followers.Simulation(context.bound)
+            simulation.partition(domain, since)
             label = (domain, since, change)
-            context.late += _find_late(world, change, label)
+            context.late += _find_late(simulation, change, label)
 
 
-@behave.then('every listener knows each change in time')
+@behave.then('every member without a fault applies each change in time')
 def check_in_time(context):
     assert not context.late, context.late
 
 
 @behave.when(
-    'nothing fails for {count:d} bounds, and something changes {pace}'
+    'no fault occurs for {count:d} bounds, and a version is written {pace}'
 )
-def run_calm(context, count, pace):
-    world = store_followers.World(context.bound)
+def run_without_faults(context, count, pace):
+    simulation = store_followers.Simulation(context.bound)
     others = [
         each
-        for each in world.members.values()
-        if each.name not in world.watchers
+        for each in simulation.members.values()
+        if each.name not in simulation.watchers
     ]
     try:
-        world.advance(_choose_calm(context.bound))
+        simulation.advance(_choose_warm_up(context.bound))
         before = [each.client.calls for each in others]
-        _play_changes(world, count * context.bound, pace)
+        _write_changes(simulation, count * context.bound, pace)
         after = [each.client.calls for each in others]
     finally:
-        world.close()
-    context.needless = [b - a for a, b in zip(before, after) if b > a]
+        simulation.close()
+    context.needless_calls = [b - a for a, b in zip(before, after) if b > a]
 
 
-def _play_changes(world, seconds, pace):
+def _write_changes(simulation, seconds, pace):
     found = re.search(r'[0-9.]+', pace)
-    step = float(found.group()) * world.bound if found else seconds
+    step = float(found.group()) * simulation.bound if found else seconds
     version = 1
-    until = world.now + seconds
-    while world.now < until:
-        world.advance(step)
+    until = simulation.now + seconds
+    while simulation.now < until:
+        simulation.advance(step)
         version += 1
-        world.store.write(version)
+        simulation.store.write(version)
 
 
-@behave.then('only watchers ask the store after its start')
+@behave.then('only watchers call the store after the warm-up')
 def check_no_calls(context):
-    assert not context.needless, context.needless
-
+    assert not context.needless_calls, context.needless_calls
 
-@behave.when('the store turns all watchers away, and a version comes at once')
-def refuse(context):
-    world = context.world = store_followers.World(context.bound)
-    context.add_cleanup(world.close)
-    since = _choose_calm(context.bound)
-    names = world.list_targets('all watchers')
-    world.break_members('refused', names, since, since + 5 * context.bound)
-    world.advance(since + 0.05)
-    world.store.write(2)
 
-
-@behave.then('every listener knows it within {seconds:g} seconds')
-def check_soon(context, seconds):
-    context.world.advance(seconds)
-    for listener in context.world.listeners:
+@behave.when(
+    'the store refuses all watchers, and a version is written at once'
+)
+def refuse_and_write(context):
+    simulation = context.simulation = store_followers.Simulation(context.bound)
+    context.add_cleanup(simulation.close)
+    since = _choose_warm_up(context.bound)
+    names = simulation.list_targets('all watchers')
+    simulation.inject_fault('refused', names, since, since + 5 * context.bound)
+    simulation.advance(since + 0.05)
+    simulation.store.write(2)
+
+
+@behave.then('every listener applies it within {seconds:g} seconds')
+def check_within(context, seconds):
+    context.simulation.advance(seconds)
+    for listener in context.simulation.listeners:
         assert listener.holder.document.version == 2, listener.name
 
 
-@behave.then('a listener is late, or asks the store without need')
+@behave.then('a member is late, or calls the store needlessly')
 def check_noticed(context):
-    assert context.late or context.needless
+    assert context.late or context.needless_calls
 
 
 @behave.when(
-    'the store turns all watchers away for {count:d} bounds, and something'
-    ' changes'
+    'the store refuses all watchers for {count:d} bounds, and versions are'
+    ' written'
 )
-def turn_away(context, count):
-    world = context.world = store_followers.World(context.bound)
-    context.add_cleanup(world.close)
-    since = _choose_calm(context.bound)
+def refuse_watchers(context, count):
+    simulation = context.simulation = store_followers.Simulation(context.bound)
+    context.add_cleanup(simulation.close)
+    since = _choose_warm_up(context.bound)
     seconds = count * context.bound
-    names = world.list_targets('all watchers')
-    world.break_members('refused', names, since, since + seconds)
-    for member in world.members.values():
-        member.client.stale = False
-    world.advance(since + context.bound)
+    names = simulation.list_targets('all watchers')
+    simulation.inject_fault('refused', names, since, since + seconds)
+    for member in simulation.members.values():
+        member.client.connection_closed = False
+    simulation.advance(since + context.bound)
     context.before = {
-        name: each.client.calls for name, each in world.members.items()
+        name: each.client.calls for name, each in simulation.members.items()
     }
-    _play_changes(world, seconds - context.bound, 'every 0.61 bounds')
+    _write_changes(simulation, seconds - context.bound, 'every 0.61 bounds')
 
 
-@behave.then('after a bound, only they and the next in rank ask it')
+@behave.then('after one bound, only they and the next in rank call the store')
 def check_next(context):
-    world = context.world
-    ranks = world.members['a1'].relaying.sources.list_candidates()
-    asked = {
+    simulation = context.simulation
+    ranks = simulation.members['a1'].relaying.sources.list_candidates()
+    callers = {
         name
-        for name, each in world.members.items()
+        for name, each in simulation.members.items()
         if each.client.calls > context.before[name]
     }
-    assert asked == set(ranks[: 2 * sources.WATCHERS]), asked
+    assert callers == set(ranks[: 2 * sources.WATCHER_COUNT]), callers
--- a/tests/support/store_followers.py
+++ b/tests/support/store_followers.py
@@ -1,8 +1,8 @@
-"""Followers of three failure domains before a store, in virtual time.
+"""Simulates followers in three failure domains and a store, in virtual time.
 
-Each member runs the real follower in a greenlet of its own; waits, messages
-and answers of the store take virtual seconds, and faults begin and end at set
-moments.
+Each member runs the real follower in a greenlet of its own. Waits, messages
+and answers of the store take virtual seconds, and faults begin and end at
+given times.
 """
 
 import json
@@ -31,53 +31,56 @@
 from tests.support import operated
 from tests.support import virtual_fleet
 
-# Seconds that a message between members, and an answer of the store, take.
+# Seconds that a message between members takes, and an answer of the store.
 _MESSAGE_SECONDS = 0.003
 _ANSWER_SECONDS = 0.005
-# Seconds that a call which is cut off waits beyond its poll.
-_CALL_SECONDS = 1.0
-# Virtual time goes on with each wait, however short.
-_LEAST_SECONDS = 1e-6
-# By failure domain. One in each watches, two in each relay, and the others of
-# the first hear from its relays.
+# Seconds after the end of its poll when a call without an answer times out.
+_CALL_TIMEOUT_SECONDS = 1.0
+# The shortest wait: virtual time has to advance with each wait.
+_MIN_WAIT_SECONDS = 1e-6
+# Members by failure domain. In each domain one member watches and two relay;
+# the other members of the first domain receive changes from its relays.
 DOMAINS = {
     'a': ('a1', 'a2', 'a3', 'a4', 'a5', 'a6'),
     'b': ('b1', 'b2'),
     'c': ('c1', 'c2'),
 }
 NAMES = tuple(name for names in DOMAINS.values() for name in names)
-# What may happen to those who tell others.
+# Faults of members that relay changes to others. A `cut` member gets no answer
+# from the store, a `refused` one gets errors, and a `mute` one neither sends
+# nor receives messages.
 FAULTS = ('killed', 'cut', 'refused', 'frozen', 'slow', 'mute', 'restarted')
-# Of all members of all worlds: nobody reads them, and they are slow to build.
-_COUNTS = metrics.Metrics()
+# Shared by all members of all simulations: no test reads these metrics, and
+# they are slow to build.
+_SHARED_METRICS = metrics.Metrics()
 
 
 class Pauses:
-    """Waits in virtual time; a frozen member wakes when it thaws."""
+    """Waits in virtual time; a frozen member resumes when its fault ends."""
 
-    def __init__(self, world, name):
-        self._world = world
+    def __init__(self, simulation, name):
+        self._simulation = simulation
         self._name = name
         self._woken = event.Event()
 
     def sleep(self, seconds):
-        self._world.sleep(self._name, seconds)
+        self._simulation.sleep(self._name, seconds)
 
     def wait(self, seconds):
         self._woken = event.Event()
-        self._world.sleep(self._name, seconds, woken=self._woken)
+        self._simulation.sleep(self._name, seconds, woken=self._woken)
 
     def wake(self):
         self._woken.set()
 
 
 class Store:
-    """One operator's version; a poll waits for the next in virtual time."""
+    """Holds one configuration version; polls wait for the next one."""
 
-    def __init__(self, world):
-        self._world = world
+    def __init__(self, simulation):
+        self._simulation = simulation
         self.entry = None
-        # Set once there is something new; each poll has one of its own.
+        # One event for each waiting poll, set by the next write.
         self.waiting = []
         self.write(1)
 
@@ -90,75 +93,87 @@
 
 
 class Client:
-    """One member's client of the store, which faults may break."""
+    """One member's client of the store; its calls fail by injected faults."""
 
-    def __init__(self, world, name):
-        self._world = world
+    def __init__(self, simulation, name):
+        self._simulation = simulation
         self._name = name
         self.calls = 0
-        # The store has closed the connection that was kept.
-        self.stale = False
+        # Whether the store closed the kept-alive connection, so that the next
+        # call fails.
+        self.connection_closed = False
 
-    def _reach(self, wait_seconds=0.0):
+    def _call_store(self, wait_seconds=0.0):
         self.calls += 1
-        fault = self._world.find_fault(self._name)
-        if fault == 'refused' or self.stale:
-            self.stale = False
-            self._world.sleep(self._name, _ANSWER_SECONDS)
-            raise errors.PlatformUnavailable('turned away')
+        fault = self._simulation.find_fault(self._name)
+        if fault == 'refused' or self.connection_closed:
+            self.connection_closed = False
+            self._simulation.sleep(self._name, _ANSWER_SECONDS)
+            raise errors.PlatformUnavailable('connection refused')
         if fault == 'cut':
-            self._world.sleep(self._name, wait_seconds + _CALL_SECONDS)
+            self._simulation.sleep(
+                self._name, wait_seconds + _CALL_TIMEOUT_SECONDS
+            )
             raise errors.PlatformUnavailable('no answer')
-        self._world.sleep(self._name, _ANSWER_SECONDS)
+        self._simulation.sleep(self._name, _ANSWER_SECONDS)
 
     def read_entries(self, prefix):
-        self._reach()
-        entry = self._world.store.entry
+        self._call_store()
+        entry = self._simulation.store.entry
         return keyvalue.Entries([entry], entry.revision)
 
     def poll(self, prefix, *, after, wait_seconds):
-        self._reach(wait_seconds)
-        store = self._world.store
-        began = self._world.now
-        lost = self._world.loses_at(self._name)
+        self._call_store(wait_seconds)
+        store = self._simulation.store
+        began_at = self._simulation.now
+        broken_at = self._simulation.find_break_time(self._name)
         if store.entry.revision <= after:
             changed = event.Event()
             store.waiting.append(changed)
-            self._world.sleep(
-                self._name, wait_seconds, woken=changed, cut=lost
+            self._simulation.sleep(
+                self._name, wait_seconds, woken=changed, cut=broken_at
             )
-        fault = self._world.find_fault(self._name)
+        fault = self._simulation.find_fault(self._name)
         if fault == 'refused':
             raise errors.PlatformUnavailable('connection reset')
         if fault == 'cut':
-            # What the store answered meanwhile never arrives.
-            left = began + wait_seconds + _CALL_SECONDS - self._world.now
-            self._world.sleep(self._name, left)
+            # The store's answer is lost, and the call ends by its timeout.
+            remaining = (
+                began_at
+                + wait_seconds
+                + _CALL_TIMEOUT_SECONDS
+                - self._simulation.now
+            )
+            self._simulation.sleep(self._name, remaining)
             raise errors.PlatformUnavailable('no answer')
         entries = [store.entry] if store.entry.revision > after else []
         return keyvalue.Entries(entries, store.entry.revision)
 
 
 class Member:
-    """One instance's follower, its client and its links."""
+    """One instance's follower, its store client and its message transport."""
 
-    def __init__(self, world, index, name):
+    def __init__(self, simulation, index, name):
         self.name = name
-        self._world = world
+        self._simulation = simulation
         self.greenlets = []
-        ahead = 3600.0 * index
-        self.client = Client(world, name)
+        clock_offset = 3600.0 * index
+        self.client = Client(simulation, name)
         self.holder = holder.Holder()
-        self.freshness = freshness.Freshness(clock=lambda: world.now + ahead)
-        known = roster.Roster(_build_member(name))
+        self.freshness = freshness.Freshness(
+            clock=lambda: simulation.now + clock_offset
+        )
+        known_members = roster.Roster(_build_member(name))
         for other in NAMES:
             if other != name:
-                known.put(_build_member(other))
-        settings = world.settings
-        waits = staleness.Staleness(settings)
-        self.relaying = relaying.Relaying(known, self, self.freshness, waits)
+                known_members.put(_build_member(other))
+        settings = simulation.settings
+        staleness_limits = staleness.Staleness(settings)
+        self.relaying = relaying.Relaying(
+            known_members, self, self.freshness, staleness_limits
+        )
         self.follower = following.Follower(
-            waits,
+            staleness_limits,
             self.client,
             entries.Entries(
                 self.holder,
@@ -167,18 +182,18 @@
                 quarantined.StoredQuarantine(
                     settings, self.client, quarantine.Quarantine()
                 ),
-                _COUNTS,
+                _SHARED_METRICS,
             ),
             self.freshness,
             self.relaying,
-            _COUNTS,
+            _SHARED_METRICS,
             random=random.Random(index),
-            pauses=Pauses(world, name),
-            stamping=Pauses(world, name),
+            pauses=Pauses(simulation, name),
+            stamp_pauses=Pauses(simulation, name),
         )
 
     def start(self):
-        for task in (self.follower.run, self.follower.keep_stamping):
+        for task in (self.follower.run, self.follower.run_stamp_loop):
             self.greenlets.append(gevent.spawn(task))
 
     def stop(self):
@@ -186,7 +201,7 @@
         self.greenlets = []
 
     def send(self, name, message):
-        self._world.post(self.name, name, message)
+        self._simulation.send_message(self.name, name, message)
         return True
 
     def receive(self, sender, message):
@@ -208,8 +223,8 @@
     )
 
 
-class World:
-    """Members of three failure domains, a store, and faults of members."""
+class Simulation:
+    """Members of three failure domains, a store, and injected faults."""
 
     def __init__(self, bound_seconds):
         self.network = virtual_fleet.Network(seed=1)
@@ -223,10 +238,10 @@
             platform={'poll_seconds': 30.0},
         )
         self.store = Store(self)
-        # By member: (kind, from, until).
+        # By member: (kind of fault, start, end), in virtual seconds.
         self.faults = {}
-        # Pairs of failure domains between which no message arrives, and since
-        # when.
+        # By pair of failure domains: since when no message passes between
+        # them.
         self.partitions = {}
         self.members = {}
         for index, name in enumerate(NAMES):
@@ -264,13 +279,13 @@
         kind, since, until = self.faults.get(name, ('', 0.0, 0.0))
         return kind if since <= self.now < until else ''
 
-    def loses_at(self, name):
-        """Return when a waiting poll is broken off; None: it isn't."""
+    def find_break_time(self, name):
+        """Return when a fault breaks off a waiting poll, or None."""
         kind, since, _ = self.faults.get(name, ('', 0.0, 0.0))
         return since if kind == 'refused' and since > self.now else None
 
     def list_targets(self, target):
-        """Return the names of those to whom something happens."""
+        """Return the names of the members that a target describes."""
         return {
             'a watcher': self.watchers[:1],
             'all watchers': self.watchers,
@@ -280,20 +295,32 @@
             'a domain': DOMAINS[self.watchers[0][0]],
         }[target]
 
-    def break_members(self, kind, names, since, until):
-        """Let members fail, and the first call of each other, too."""
+    def inject_fault(self, kind, names, since, until):
+        """Inject a fault, and let the next call of each non-watcher fail.
+
+        Parameters
+        ----------
+        kind : str
+            One of `FAULTS`.
+        names : iterable of str
+            The members that the fault affects.
+        since, until : float
+            Start and end of the fault, in virtual seconds.
+        """
         for member in self.members.values():
-            member.client.stale = member.name not in self.watchers
+            member.client.connection_closed = member.name not in self.watchers
         for name in names:
             self.faults[name] = (kind, since, until)
             if kind in ('killed', 'restarted'):
                 self.network.call_at(since, self.members[name].stop)
             if kind == 'restarted':
-                back = since + 0.2 * self.bound
-                self.network.call_at(back, lambda name=name: self._start(name))
+                restart_at = since + 0.2 * self.bound
+                self.network.call_at(
+                    restart_at, lambda name=name: self._start(name)
+                )
 
-    def part(self, domain, since):
-        """Let no message pass between a failure domain and the others."""
+    def partition(self, domain, since):
+        """Drop all messages between a failure domain and the others."""
         for other in DOMAINS:
             if other != domain:
                 self.partitions[frozenset((domain, other))] = since
@@ -304,21 +331,25 @@
         self.members[name].start()
 
     def sleep(self, name, seconds, *, woken=None, cut=None):
-        """Wait in virtual time, on behalf of a member."""
+        """Wait in virtual time on behalf of a member.
+
+        The wait ends after `seconds`, when `woken` is set, or at the time
+        `cut`, and is extended while a fault delays the member.
+        """
         done = event.Event() if woken is None else woken
-        due = self.now + max(_LEAST_SECONDS, seconds)
+        due = self.now + max(_MIN_WAIT_SECONDS, seconds)
         if cut is not None:
             due = min(due, cut)
-        self.network.call_at(self._thaw(name, due), done.set)
+        self.network.call_at(self._find_handling_time(name, due), done.set)
         done.wait()
-        thawed = self._thaw(name, self.now)
-        if thawed > self.now:
-            again = event.Event()
-            self.network.call_at(thawed, again.set)
-            again.wait()
-
-    def _thaw(self, name, due):
-        """Return when a member comes to what is due then."""
+        handled_at = self._find_handling_time(name, self.now)
+        if handled_at > self.now:
+            resumed = event.Event()
+            self.network.call_at(handled_at, resumed.set)
+            resumed.wait()
+
+    def _find_handling_time(self, name, due):
+        """Return when a member handles an event that is due at a time."""
         kind, since, until = self.faults.get(name, ('', 0.0, 0.0))
         if not since <= due < until:
             return due
@@ -328,11 +359,11 @@
             return due + 0.1 * self.bound
         return due
 
-    def post(self, sender, name, message):
+    def send_message(self, sender, name, message):
         if self.find_fault(sender) in ('mute', 'killed'):
             return
-        parted = self.partitions.get(frozenset((sender[0], name[0])))
-        if parted is not None and self.now >= parted:
+        partitioned_at = self.partitions.get(frozenset((sender[0], name[0])))
+        if partitioned_at is not None and self.now >= partitioned_at:
             return
         due = self.now + _MESSAGE_SECONDS
         if self.find_fault(sender) == 'slow':
@@ -340,10 +371,10 @@
         self.network.call_at(due, lambda: self._deliver(sender, name, message))
 
     def _deliver(self, sender, name, message):
-        thawed = self._thaw(name, self.now)
-        if thawed > self.now and self.find_fault(name) == 'frozen':
+        handled_at = self._find_handling_time(name, self.now)
+        if handled_at > self.now and self.find_fault(name) == 'frozen':
             self.network.call_at(
-                thawed, lambda: self._deliver(sender, name, message)
+                handled_at, lambda: self._deliver(sender, name, message)
             )
             return
         if self.find_fault(name) in ('mute', 'killed', 'restarted'):
