--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the systems that amaranthslip serves; never in the product."""
+"""Simulated systems around amaranthslip; not shipped with the product."""
--- a/standins/batching.py
+++ b/standins/batching.py
@@ -1,4 +1,4 @@
-"""The stand-in engine's continuous batching, one greenlet for all steps."""
+"""Continuous batching of the simulated engine; one greenlet runs all steps."""
 
 import collections
 import time
@@ -11,11 +11,11 @@
 
 _BLOCK_CHARACTERS = 64
 _PREFILL_TOKENS_PER_STEP = 2048
-_LONGEST_CATCH_UP_SECONDS = 0.25
+_MAX_CATCH_UP_SECONDS = 0.25
 
 
 class PrefixCache:
-    """Which prompt prefixes are held, in blocks, least recently used out."""
+    """LRU cache of prompt prefixes, in blocks of 64 characters."""
 
     __slots__ = ('_limit', '_blocks', 'queries', 'hits')
 
@@ -31,24 +31,30 @@
         return len(self._blocks)
 
     def match(self, text: str) -> int:
-        """Return the characters held of a prompt; hold all of it after."""
-        chain, held, matching = 0, 0, True
+        """Return the length of the cached prefix; cache all full blocks."""
+        block_hash, cached_characters, matching = 0, 0, True
         for end in range(_BLOCK_CHARACTERS, len(text) + 1, _BLOCK_CHARACTERS):
-            chain = hash((chain, text[end - _BLOCK_CHARACTERS : end]))
+            block_hash = hash(
+                (block_hash, text[end - _BLOCK_CHARACTERS : end])
+            )
             self.queries += 1
-            matching = matching and chain in self._blocks
+            matching = matching and block_hash in self._blocks
             if matching:
-                held = end
+                cached_characters = end
                 self.hits += 1
-            self._blocks[chain] = None
-            self._blocks.move_to_end(chain)
+            self._blocks[block_hash] = None
+            self._blocks.move_to_end(block_hash)
         while len(self._blocks) > self._limit:
             self._blocks.popitem(last=False)
-        return held
+        return cached_characters
 
 
 class Job:
-    """One request in the engine; `produced` counts from the whole answer."""
+    """One request in the engine.
+
+    `start`, `produced` and `end` are token positions in the complete answer,
+    including the tokens that an earlier request delivered.
+    """
 
     __slots__ = (
         'prompt',
@@ -59,7 +65,7 @@
         'produced',
         'end',
         'cancelled',
-        'advanced',
+        'progressed',
     )
 
     def __init__(self, prompt: generation.Prompt, max_tokens: int) -> None:
@@ -71,36 +77,38 @@
         self.cached_tokens = 0
         self.prefill_tokens = self.prompt_tokens
         self.cancelled = False
-        self.advanced = event.Event()
+        self.progressed = event.Event()
 
     @property
-    def over(self) -> bool:
-        """Whether nothing more will be generated."""
+    def ended(self) -> bool:
+        """Whether the job was cancelled or has produced its last token."""
         return self.cancelled or self.produced >= self.end
 
-    def wait(self, seen: int) -> int:
-        """Wait for more than `seen` tokens or the end; return how many."""
-        while self.produced <= seen and not self.over:
-            self.advanced.clear()
-            self.advanced.wait()
+    def wait(self, known_tokens: int) -> int:
+        """Return `produced` once it exceeds `known_tokens` or the job ends."""
+        while self.produced <= known_tokens and not self.ended:
+            self.progressed.clear()
+            self.progressed.wait()
         return self.produced
 
 
 class Engine:
-    """Steps all running jobs together; the rest wait first in, first out.
+    """Advances all running jobs in common steps; others wait in FIFO order.
 
     Parameters
     ----------
     slots : int
-        How many jobs run at once.
+        Maximum number of concurrently running jobs.
     step_seconds, step_seconds_per_request : float
-        A step takes the first plus the second for each running job.
+        Duration of a step: the first value plus the second value for each
+        running job, in seconds.
     tokens_per_step : int
-        Tokens that each step generates for each running job.
+        Tokens generated for each running job in a step.
     prefill_seconds_per_token : float
-        Added to a step for each prompt token that the cache did not hold.
+        Seconds added to a step for each uncached prompt token that it
+        prefills.
     cache_blocks : int
-        How many blocks of 64 characters the prefix cache holds.
+        Capacity of the prefix cache, in blocks of 64 characters.
     """
 
     __slots__ = (
@@ -112,7 +120,7 @@
         'cache',
         'running',
         'waiting',
-        '_work',
+        '_work_available',
         'started',
         'finished',
         'cancelled',
@@ -121,7 +129,7 @@
         'tokens',
         'prompt_tokens',
         'busy_slot_seconds',
-        '_measured',
+        '_busy_time_updated_at',
     )
 
     def __init__(
@@ -142,48 +150,50 @@
         self.cache = PrefixCache(cache_blocks)
         self.running: list[Job] = []
         self.waiting: collections.deque[Job] = collections.deque()
-        self._work = event.Event()
+        self._work_available = event.Event()
         self.started = self.finished = self.cancelled = 0
         self.max_running = self.max_waiting = 0
         self.tokens = self.prompt_tokens = 0
         self.busy_slot_seconds = 0.0
-        self._measured = time.monotonic()
+        self._busy_time_updated_at = time.monotonic()
 
     def submit(self, job: Job) -> None:
-        """Take a job in; it starts when a slot is free."""
+        """Queue a job; it starts as soon as a slot is free."""
         self.waiting.append(job)
         self._admit()
         self.max_waiting = max(self.max_waiting, len(self.waiting))
-        self._work.set()
+        self._work_available.set()
 
     def cancel(self, job: Job) -> None:
-        """End a job early and free its slot; harmless when it is over."""
-        if job.over:
+        """Cancel a job and free its slot; do nothing if the job has ended."""
+        if job.ended:
             return
         job.cancelled = True
         self.cancelled += 1
-        self.measure()
+        self.update_busy_time()
         if job in self.running:
             self.running.remove(job)
         else:
             self.waiting.remove(job)
-        job.advanced.set()
+        job.progressed.set()
         self._admit()
 
-    def measure(self) -> None:
-        """Bring the busy slot seconds up to now."""
+    def update_busy_time(self) -> None:
+        """Add the slot time used since the last update."""
         now = time.monotonic()
-        self.busy_slot_seconds += len(self.running) * (now - self._measured)
-        self._measured = now
+        self.busy_slot_seconds += len(self.running) * (
+            now - self._busy_time_updated_at
+        )
+        self._busy_time_updated_at = now
 
     def _admit(self) -> None:
-        self.measure()
+        self.update_busy_time()
         while self.waiting and len(self.running) < self.slots:
             job = self.waiting.popleft()
             self.started += 1
-            held = self.cache.match(job.prompt.text)
-            job.cached_tokens = held and generation.count_tokens(
-                job.prompt.text[:held]
+            cached_characters = self.cache.match(job.prompt.text)
+            job.cached_tokens = cached_characters and generation.count_tokens(
+                job.prompt.text[:cached_characters]
             )
             job.prefill_tokens -= job.cached_tokens
             self.prompt_tokens += job.prompt_tokens
@@ -191,25 +201,30 @@
         self.max_running = max(self.max_running, len(self.running))
 
     def run(self) -> typing.NoReturn:
-        """Step for ever; steps keep their pace though a wake-up is late."""
-        due = time.monotonic()
+        """Run steps forever.
+
+        Each step is scheduled from the planned end of the previous one, so
+        that late wake-ups don't reduce the token rate. At most
+        `_MAX_CATCH_UP_SECONDS` of delay are caught up.
+        """
+        step_end = time.monotonic()
         while True:
             if not self.running:
-                self._work.clear()
-                self._work.wait()
-                due = time.monotonic()
-            due += self._take_step()
+                self._work_available.clear()
+                self._work_available.wait()
+                step_end = time.monotonic()
+            step_end += self._start_step()
             now = time.monotonic()
-            due = max(due, now - _LONGEST_CATCH_UP_SECONDS)
-            gevent.sleep(max(0.0, due - now))
-            self._emit()
+            step_end = max(step_end, now - _MAX_CATCH_UP_SECONDS)
+            gevent.sleep(max(0.0, step_end - now))
+            self._emit_tokens()
 
-    def _take_step(self) -> float:
+    def _start_step(self) -> float:
         budget = _PREFILL_TOKENS_PER_STEP
         for job in self.running:
-            taken = min(budget, job.prefill_tokens)
-            job.prefill_tokens -= taken
-            budget -= taken
+            step_tokens = min(budget, job.prefill_tokens)
+            job.prefill_tokens -= step_tokens
+            budget -= step_tokens
         prefilled = _PREFILL_TOKENS_PER_STEP - budget
         return (
             self._step_seconds
@@ -217,16 +232,16 @@
             + self._prefill_seconds_per_token * prefilled
         )
 
-    def _emit(self) -> None:
-        self.measure()
+    def _emit_tokens(self) -> None:
+        self.update_busy_time()
         unfinished = []
         for job in self.running:
             if not job.prefill_tokens:
-                before = job.produced
-                job.produced = min(before + self._tokens_per_step, job.end)
-                self.tokens += job.produced - before
-                job.advanced.set()
-            if job.over:
+                previous = job.produced
+                job.produced = min(previous + self._tokens_per_step, job.end)
+                self.tokens += job.produced - previous
+                job.progressed.set()
+            if job.ended:
                 self.finished += 1
             else:
                 unfinished.append(job)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,15 +1,22 @@
-"""A model engine: OpenAI's completions over continuous batching.
+"""A simulated model engine: OpenAI completions over continuous batching.
 
     python -m standins.engine --port 0 --slots 16 --step-ms 30
 
-Serves /v1/chat/completions and /v1/completions, whole and streamed,
-/v1/models, /health and /metrics (vLLM names, `--report-lag-seconds` late). See
-`standins.generation` for the text and for how an answer is resumed, and
-`standins.batching` for the pace. `GET /standin/stats` returns counters
-(`GET /standin/busy` the few that are read often);
-`POST /standin/faults` takes `{"mode": ..., "tokens": n}` with one of the
-modes `ok`, `fail_500`, `hang`, `cut_after_tokens`, `hang_after_tokens` and
-`unhealthy` (only /health fails).
+Serves /v1/chat/completions and /v1/completions (complete and streamed),
+/v1/models, /health and /metrics (vLLM metric names; the values are
+`--report-lag-seconds` old). `standins.generation` defines the generated text
+and how an answer is resumed; `standins.batching` defines the generation speed.
+
+`GET /standin/stats` returns all counters, `GET /standin/busy` only those that
+are polled frequently. `POST /standin/faults` takes
+`{"mode": ..., "tokens": n}` with one of these modes:
+
+- `ok`: no fault;
+- `fail_500`: completions get a 500, and /health a 503;
+- `hang`: completions get no response;
+- `cut_after_tokens`: the connection is closed after `tokens` tokens;
+- `hang_after_tokens`: the response stops after `tokens` tokens;
+- `unhealthy`: only /health fails.
 """
 
 import collections
@@ -23,12 +30,12 @@
 from standins import generation
 from standins import server
 
-_MOST_REMEMBERED_IDS = 200000
-_REPORT_SECONDS = 0.05
+_MAX_COUNTED_REQUEST_IDS = 200000
+_REPORT_INTERVAL_SECONDS = 0.05
 
 
 class Faults:
-    """What goes wrong at present."""
+    """The active fault mode."""
 
     __slots__ = ('mode', 'tokens')
 
@@ -37,8 +44,8 @@
         self.tokens = tokens
 
 
-class Report:
-    """The load at one moment, as /metrics tells it later."""
+class LoadReport:
+    """A snapshot of the engine's load in the format of /metrics."""
 
     __slots__ = ('time', 'text')
 
@@ -63,12 +70,12 @@
 
 
 class EngineService:
-    """The HTTP side of one engine."""
+    """WSGI application of one engine."""
 
     __slots__ = (
         '_engine',
         '_faults',
-        '_lag_seconds',
+        '_report_lag_seconds',
         '_reports',
         '_executions',
         '_requests',
@@ -79,23 +86,23 @@
     ) -> None:
         self._engine = engine
         self._faults = Faults()
-        self._lag_seconds = report_lag_seconds
-        self._reports = collections.deque([Report(engine)])
+        self._report_lag_seconds = report_lag_seconds
+        self._reports = collections.deque([LoadReport(engine)])
         self._executions: dict[str, int] = {}
         self._requests = 0
         gevent.spawn(engine.run)
         if report_lag_seconds:
-            gevent.spawn(self._take_reports)
+            gevent.spawn(self._record_reports)
 
-    def _take_reports(self) -> None:
+    def _record_reports(self) -> None:
         while True:
-            self._reports.append(Report(self._engine))
-            seen_until = time.monotonic() - self._lag_seconds
+            self._reports.append(LoadReport(self._engine))
+            visible_until = time.monotonic() - self._report_lag_seconds
             while len(self._reports) > 1 and (
-                self._reports[1].time <= seen_until
+                self._reports[1].time <= visible_until
             ):
                 self._reports.popleft()
-            gevent.sleep(_REPORT_SECONDS)
+            gevent.sleep(_REPORT_INTERVAL_SECONDS)
 
     def __call__(
         self, environ: server.Environ, start_response: server.StartResponse
@@ -107,51 +114,53 @@
                 return self._generate(environ, start_response, chat=False)
             case 'GET', '/v1/models':
                 model = {'id': 'standin', 'object': 'model'}
-                return server.answer_json(
+                return server.respond_json(
                     start_response, {'object': 'list', 'data': [model]}
                 )
             case 'GET', '/metrics':
-                return self._answer_metrics(start_response)
+                return self._respond_metrics(start_response)
             case 'GET', '/health':
-                return self._answer_health(start_response)
+                return self._respond_health(start_response)
             case 'GET', '/standin/stats':
-                return server.answer_json(start_response, self._read_stats())
+                return server.respond_json(start_response, self._build_stats())
             case 'GET', '/standin/busy':
-                return server.answer_json(start_response, self._read_busy())
+                return server.respond_json(
+                    start_response, self._build_busy_stats()
+                )
             case 'POST', '/standin/faults':
                 values = server.read_json(environ)
                 self._faults = Faults(values['mode'], values.get('tokens', 0))
-                return server.answer_json(start_response, {})
-        return server.answer_json(start_response, {}, status='404 Not Found')
+                return server.respond_json(start_response, {})
+        return server.respond_json(start_response, {}, status='404 Not Found')
 
-    def _answer_health(
+    def _respond_health(
         self, start_response: server.StartResponse
     ) -> list[bytes]:
         failing = self._faults.mode in ('unhealthy', 'fail_500')
         status = '503 Service Unavailable' if failing else '200 OK'
-        return server.answer_json(start_response, {}, status=status)
+        return server.respond_json(start_response, {}, status=status)
 
-    def _answer_metrics(
+    def _respond_metrics(
         self, start_response: server.StartResponse
     ) -> list[bytes]:
         report = self._reports[0]
-        if not self._lag_seconds:
-            report = Report(self._engine)
+        if not self._report_lag_seconds:
+            report = LoadReport(self._engine)
         start_response('200 OK', [('Content-Type', 'text/plain')])
         return [report.text.encode()]
 
-    def _read_busy(self) -> dict[str, typing.Any]:
+    def _build_busy_stats(self) -> dict[str, typing.Any]:
         engine = self._engine
-        engine.measure()
+        engine.update_busy_time()
         return {
             'busy_slot_seconds': engine.busy_slot_seconds,
             'running': len(engine.running),
             'waiting': len(engine.waiting),
         }
 
-    def _read_stats(self) -> dict[str, typing.Any]:
+    def _build_stats(self) -> dict[str, typing.Any]:
         engine = self._engine
-        engine.measure()
+        engine.update_busy_time()
         return {
             'requests': self._requests,
             'started': engine.started,
@@ -180,34 +189,38 @@
         self._requests += 1
         try:
             body = server.read_json(environ)
-            read = generation.read_chat if chat else generation.read_completion
-            prompt = read(body)
+            parse = (
+                generation.read_chat if chat else generation.read_completion
+            )
+            prompt = parse(body)
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            return _answer_error(start_response, '400 Bad Request', error)
+            return _respond_error(start_response, '400 Bad Request', error)
         faults = self._faults
         if faults.mode == 'fail_500':
-            return _answer_error(
+            return _respond_error(
                 start_response, '500 Internal Server Error', 'engine failed'
             )
         if faults.mode == 'hang':
             server.hang(environ)
         job = batching.Job(prompt, _read_max_tokens(body))
-        self._remember(environ.get('HTTP_X_REQUEST_ID', ''))
-        answer = _Answer(self._engine, job, body, environ, faults, chat=chat)
+        self._count_execution(environ.get('HTTP_X_REQUEST_ID', ''))
+        response = _CompletionResponse(
+            self._engine, job, body, environ, faults, chat=chat
+        )
         if body.get('stream'):
             headers = [('Content-Type', 'text/event-stream; charset=utf-8')]
             start_response('200 OK', headers)
-            return answer.stream()
-        return server.answer_json(start_response, answer.complete())
+            return response.stream()
+        return server.respond_json(start_response, response.build_body())
 
-    def _remember(self, request_id: str) -> None:
-        if request_id and len(self._executions) < _MOST_REMEMBERED_IDS:
+    def _count_execution(self, request_id: str) -> None:
+        if request_id and len(self._executions) < _MAX_COUNTED_REQUEST_IDS:
             count = self._executions.get(request_id, 0) + 1
             self._executions[request_id] = count
 
 
-class _Answer:
-    """One request's answer, as its job goes on."""
+class _CompletionResponse:
+    """The response to one completion request, built while its job runs."""
 
     __slots__ = (
         '_engine',
@@ -216,8 +229,8 @@
         '_faults',
         '_chat',
         '_base',
-        '_usage_chunk',
-        '_usage_always',
+        '_final_usage_chunk',
+        '_usage_per_chunk',
     )
 
     def __init__(
@@ -236,8 +249,8 @@
         self._faults = faults
         self._chat = chat
         options = body.get('stream_options') or {}
-        self._usage_chunk = bool(options.get('include_usage'))
-        self._usage_always = bool(options.get('continuous_usage_stats'))
+        self._final_usage_chunk = bool(options.get('include_usage'))
+        self._usage_per_chunk = bool(options.get('continuous_usage_stats'))
         kind = 'chat.completion' if chat else 'text_completion'
         if chat and body.get('stream'):
             kind += '.chunk'
@@ -248,85 +261,85 @@
             'model': body.get('model', 'standin'),
         }
 
-    def _watch(self) -> None:
-        # A caller that leaves frees its slot at once.
+    def _cancel_on_disconnect(self) -> None:
+        # A client that disconnects frees its slot immediately.
         if server.wait_for_close(self._environ):
             self._engine.cancel(self._job)
 
-    def _start(self) -> gevent.Greenlet:
+    def _submit(self) -> gevent.Greenlet:
         self._engine.submit(self._job)
-        return gevent.spawn(self._watch)
+        return gevent.spawn(self._cancel_on_disconnect)
 
-    def _finish(self, watcher: gevent.Greenlet) -> None:
-        # Killed before the connection's next read: two greenlets may not
-        # wait for the same socket.
-        watcher.kill()
+    def _release(self, disconnect_watcher: gevent.Greenlet) -> None:
+        # The watcher is killed before the server reads the connection again:
+        # gevent doesn't allow two greenlets to wait for the same socket.
+        disconnect_watcher.kill()
         self._engine.cancel(self._job)
 
-    def _check_faults(self) -> None:
+    def _apply_faults(self) -> None:
         job, faults = self._job, self._faults
         if job.produced - job.start < faults.tokens:
             return
         if faults.mode == 'cut_after_tokens':
-            server.cut(self._environ)
+            server.abort_connection(self._environ)
         if faults.mode == 'hang_after_tokens':
             server.hang(self._environ)
 
-    def complete(self) -> dict[str, typing.Any]:
-        """Return the whole answer when it is generated."""
+    def build_body(self) -> dict[str, typing.Any]:
+        """Return the response body once the job has ended."""
         job = self._job
-        watcher = self._start()
+        disconnect_watcher = self._submit()
         try:
-            while not job.over:
+            while not job.ended:
                 job.wait(job.produced)
-                self._check_faults()
+                self._apply_faults()
         finally:
-            self._finish(watcher)
+            self._release(disconnect_watcher)
         if job.cancelled:
-            server.cut(self._environ)
+            server.abort_connection(self._environ)
         text = generation.write_tokens(job.prompt.mark, job.start, job.end)
-        choice = {'index': 0, 'finish_reason': self._read_finish()}
+        choice = {'index': 0, 'finish_reason': self._get_finish_reason()}
         if self._chat:
             choice['message'] = {'role': 'assistant', 'content': text}
         else:
             choice['text'] = text
         return self._base | {
             'choices': [choice],
-            'usage': self._read_usage(job.end),
+            'usage': self._build_usage(job.end),
         }
 
     def stream(self) -> typing.Iterator[bytes]:
-        """Yield the answer's events while it is generated."""
+        """Yield server-sent events while tokens are generated."""
         job = self._job
         sent = job.start
-        watcher = self._start()
+        disconnect_watcher = self._submit()
         try:
             if self._chat:
-                yield self._write_chunk('', sent, role=True)
-            while not job.over or sent < job.produced or sent == job.end:
+                yield self._encode_chunk('', sent, role=True)
+            while not job.ended or sent < job.produced or sent == job.end:
                 produced = job.wait(sent)
                 if job.cancelled:
                     break
                 text = generation.write_tokens(job.prompt.mark, sent, produced)
                 sent = produced
-                yield self._write_chunk(text, sent)
-                self._check_faults()
+                yield self._encode_chunk(text, sent)
+                self._apply_faults()
                 if sent == job.end:
                     break
         finally:
-            self._finish(watcher)
+            self._release(disconnect_watcher)
         if job.cancelled:
-            server.cut(self._environ)
-        if self._usage_chunk:
-            usage = {'choices': [], 'usage': self._read_usage(job.end)}
-            yield _write_event(self._base | usage)
+            server.abort_connection(self._environ)
+        if self._final_usage_chunk:
+            usage = {'choices': [], 'usage': self._build_usage(job.end)}
+            yield _encode_event(self._base | usage)
         yield b'data: [DONE]\n\n'
 
-    def _read_finish(self) -> str:
+    def _get_finish_reason(self) -> str:
         job = self._job
         return 'stop' if job.end >= job.prompt.length else 'length'
 
-    def _read_usage(self, produced: int) -> dict[str, typing.Any]:
+    def _build_usage(self, produced: int) -> dict[str, typing.Any]:
         job = self._job
         generated = produced - job.start
         return {
@@ -336,13 +349,13 @@
             'prompt_tokens_details': {'cached_tokens': job.cached_tokens},
         }
 
-    def _write_chunk(
+    def _encode_chunk(
         self, text: str, sent: int, *, role: bool = False
     ) -> bytes:
-        ended = sent >= self._job.end and not role
+        is_last = sent >= self._job.end and not role
         choice = {
             'index': 0,
-            'finish_reason': self._read_finish() if ended else None,
+            'finish_reason': self._get_finish_reason() if is_last else None,
         }
         if self._chat:
             choice['delta'] = {'content': text}
@@ -351,12 +364,12 @@
         else:
             choice['text'] = text
         chunk = self._base | {'choices': [choice]}
-        if self._usage_always:
-            chunk['usage'] = self._read_usage(sent)
-        return _write_event(chunk)
+        if self._usage_per_chunk:
+            chunk['usage'] = self._build_usage(sent)
+        return _encode_event(chunk)
 
 
-def _write_event(chunk: dict[str, typing.Any]) -> bytes:
+def _encode_event(chunk: dict[str, typing.Any]) -> bytes:
     return b'data: ' + json.dumps(chunk).encode() + b'\n\n'
 
 
@@ -367,16 +380,16 @@
     return generation.DEFAULT_MAX_TOKENS
 
 
-def _answer_error(
+def _respond_error(
     start_response: server.StartResponse, status: str, message: object
 ) -> list[bytes]:
     error = {'message': str(message), 'type': 'standin', 'code': status[:3]}
-    return server.answer_json(start_response, {'error': error}, status=status)
+    return server.respond_json(start_response, {'error': error}, status=status)
 
 
 def main() -> None:
-    """Run the program."""
-    parser = server.build_parser('A model engine.')
+    """Run the engine as a program."""
+    parser = server.build_parser('A simulated model engine.')
     parser.add_argument('--slots', type=int, default=16)
     parser.add_argument('--step-ms', type=float, default=30.0)
     parser.add_argument('--step-ms-per-request', type=float, default=0.0)
--- a/standins/generation.py
+++ b/standins/generation.py
@@ -1,7 +1,8 @@
-"""The stand-in engine's text: what is generated for which prompt.
+"""Deterministic text of the simulated engine.
 
-Token i of a prompt is ` w<i>.<6 hex of the prompt's hash>`, so that a test
-knows from the prompt alone which whole answer its caller must get.
+Token i of the answer to a prompt is ` w<i>.<first 6 hex digits of the prompt's
+hash>`, so that a test can compute the expected answer from the prompt alone.
+`LENGTH=<n>` in a prompt sets the answer's length in tokens.
 """
 
 import hashlib
@@ -11,46 +12,46 @@
 _LENGTH = re.compile(r'LENGTH=(\d+)')
 _FIRST_TOKEN = re.compile(r' w0\.([0-9a-f]{6})')
 _CHARACTERS_PER_TOKEN = 4
-_LEAST_TOKENS = 16
-_SPREAD_TOKENS = 240
+_MIN_TOKENS = 16
+_TOKEN_COUNT_RANGE = 240
 DEFAULT_MAX_TOKENS = 32768
 
 
 class ResumeInvalid(ValueError):
-    """The text to continue from is no part of this prompt's answer."""
+    """The text to continue is not a prefix of this prompt's answer."""
 
 
 def hash_prompt(prompt: str) -> str:
-    """Return the six hexadecimal digits that mark a prompt's tokens."""
+    """Return the six hexadecimal digits in each token of the answer."""
     return hashlib.sha256(prompt.encode()).hexdigest()[:6]
 
 
 def write_tokens(mark: str, start: int, end: int) -> str:
-    """Return the text of tokens `start` to `end` (exclusive)."""
+    """Return the text of the tokens from `start` up to `end` (exclusive)."""
     return ''.join(f' w{index}.{mark}' for index in range(start, end))
 
 
 def write_answer(prompt: str, max_tokens: int = DEFAULT_MAX_TOKENS) -> str:
-    """Return the whole answer to a prompt, for tests."""
-    length = min(choose_length(prompt), max_tokens)
+    """Return the complete answer to a prompt; tests compare against it."""
+    length = min(compute_length(prompt), max_tokens)
     return write_tokens(hash_prompt(prompt), 0, length)
 
 
-def choose_length(prompt: str) -> int:
-    """Return how many tokens the whole answer has."""
+def compute_length(prompt: str) -> int:
+    """Return the number of tokens in the complete answer."""
     directive = _LENGTH.search(prompt)
     if directive:
         return int(directive[1])
-    return _LEAST_TOKENS + int(hash_prompt(prompt), 16) % _SPREAD_TOKENS
+    return _MIN_TOKENS + int(hash_prompt(prompt), 16) % _TOKEN_COUNT_RANGE
 
 
 def count_tokens(text: str) -> int:
-    """Return the tokens of a prompt: roughly four characters each."""
+    """Estimate the number of tokens in a text, at four characters each."""
     return max(1, len(text) // _CHARACTERS_PER_TOKEN)
 
 
 def flatten(messages: typing.Sequence[dict[str, typing.Any]]) -> str:
-    """Return a chat's prompt as one text."""
+    """Return the messages of a chat as one prompt text."""
     return ''.join(
         f'<{message.get("role")}>{_read_content(message)}\n'
         for message in messages
@@ -65,21 +66,21 @@
 
 
 class Prompt:
-    """A prompt without the part of its answer that was delivered before."""
+    """A prompt, and the number of answer tokens delivered earlier."""
 
     __slots__ = ('text', 'mark', 'delivered', 'length')
 
     def __init__(self, text: str, delivered_text: str) -> None:
         self.text = text
         self.mark = hash_prompt(text)
-        self.length = choose_length(text)
+        self.length = compute_length(text)
         self.delivered = self._count_delivered(delivered_text)
 
     def _count_delivered(self, delivered_text: str) -> int:
         count = delivered_text.count(' w')
         if write_tokens(self.mark, 0, count) != delivered_text:
             raise ResumeInvalid(
-                'the last message is not the beginning of the answer'
+                'the text to continue is not a prefix of the answer'
             )
         return count
 
@@ -90,7 +91,8 @@
     Raises
     ------
     ResumeInvalid
-        `continue_final_message` with a text that was not generated.
+        `continue_final_message` is set, and the last message is not a prefix
+        of the answer.
     """
     messages = body['messages']
     if body.get('continue_final_message'):
@@ -102,13 +104,19 @@
 def read_completion(body: dict[str, typing.Any]) -> Prompt:
     """Return the prompt of a completion request.
 
-    A prompt that ends with the beginning of its own answer is continued.
+    If the prompt ends with a prefix of its own answer, generation continues
+    after that prefix.
+
+    Raises
+    ------
+    ResumeInvalid
+        The text after the original prompt is not a prefix of the answer.
     """
     text = body['prompt']
     if not isinstance(text, str):
         text = ''.join(text)
-    for found in _FIRST_TOKEN.finditer(text):
-        base = text[: found.start()]
-        if hash_prompt(base) == found[1]:
-            return Prompt(base, text[found.start() :])
+    for first_token in _FIRST_TOKEN.finditer(text):
+        base_prompt = text[: first_token.start()]
+        if hash_prompt(base_prompt) == first_token[1]:
+            return Prompt(base_prompt, text[first_token.start() :])
     return Prompt(text, '')
--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -1,21 +1,34 @@
-"""The platform's key-value service.
+"""A simulated key-value service of the platform.
 
     python -m standins.keyvalue --port 0
 
 Serves `/-/kv-key`, `/-/kv-range`, `/-/kv-watch`, `/-/kv-txn`,
 `/-/kv-lease`, `/-/kv-keep/ID` and `/-/kv-lease-end/ID`. Values above 1 MiB are
-refused. Control paths:
-
-`POST /standin/faults` with `mode` (`up`, `down`: every connection is closed
-before any effect, `refuse`: every call gets 503, `throttle`: 429, `slow`:
-every call waits `seconds` first, `lose_answers`: each write takes effect and
-the connection is closed without an answer, `lose_some`: so for a `fraction`
-of the writes), `for_seconds` (then `up` again; default: until changed) and
-`silent_watches` (watches that wait now say nothing ever again).
-`POST /standin/put` with `key` and `text` writes as the operator does.
-`POST /standin/compact` drops the history. `GET /standin/calls`,
-`POST /standin/snapshot` and `POST /standin/restore`, both with an optional
-`name`.
+rejected.
+
+`POST /standin/faults` takes these fields:
+
+- `mode`:
+  - `up`: no fault;
+  - `down`: open watches end, and every connection is closed before the
+    call takes effect;
+  - `refuse`: every call gets a 503;
+  - `throttle`: every call gets a 429;
+  - `slow`: every call is delayed by `seconds`;
+  - `lose_answers`: each write takes effect, and the connection is closed
+    without a response;
+  - `lose_some`: as `lose_answers`, for a `fraction` of the writes;
+- `for_seconds`: the mode returns to `up` after this time (default: never);
+- `silent_watches`: watches that are open now deliver no further events and
+  don't time out.
+
+Other control paths:
+
+- `GET /standin/calls` returns the number of calls, in total and per second;
+- `POST /standin/put` with `key` and `text` writes a key, as an operator would;
+- `POST /standin/remove` with `key` deletes a key;
+- `POST /standin/compact` drops the history;
+- `POST /standin/snapshot` and `POST /standin/restore` take an optional `name`.
 """
 
 import base64
@@ -31,14 +44,14 @@
 from standins import server
 from standins import store
 
-_MOST_BYTES = 1024 * 1024
+_MAX_VALUE_BYTES = 1024 * 1024
 _PAGE_ENTRIES = 500
 _PAGE_BYTES = 1024 * 1024
-_LEASE_TICK_SECONDS = 0.05
-_WATCH_TICK_SECONDS = 0.2
-_MOST_WAIT_SECONDS = 30.0
-# Names of calls in the counts, by path.
-_KINDS = {
+_LEASE_EXPIRY_INTERVAL_SECONDS = 0.05
+_WATCH_POLL_SECONDS = 0.2
+_MAX_WAIT_SECONDS = 30.0
+# Names under which calls are counted, by path.
+_CALL_NAMES = {
     '/-/kv-key': 'read',
     '/-/kv-range': 'range',
     '/-/kv-watch': 'watch',
@@ -47,7 +60,7 @@
     '/-/kv-keep': 'renewal',
     '/-/kv-lease-end': 'lease_end',
 }
-_WRITES = ('txn', 'lease', 'lease_end')
+_WRITE_CALLS = ('txn', 'lease', 'lease_end')
 _STATUSES = {
     400: '400 Bad Request',
     404: '404 Not Found',
@@ -58,8 +71,8 @@
 }
 
 
-class _Refusal(Exception):
-    """An answer other than 200, with its status and body."""
+class _ErrorResponse(Exception):
+    """Ends a call with a status other than 200."""
 
     def __init__(self, status: int, **values: object) -> None:
         super().__init__(status)
@@ -67,7 +80,7 @@
         self.values = values
 
 
-def _describe(item: store.Item) -> dict[str, typing.Any]:
+def _format_item(item: store.Item) -> dict[str, typing.Any]:
     return {
         'key': item.key.decode(),
         'value': base64.b64encode(item.value).decode(),
@@ -77,9 +90,9 @@
     }
 
 
-def _describe_event(event: store.Event) -> dict[str, typing.Any]:
+def _format_event(event: store.Event) -> dict[str, typing.Any]:
     if not event.deleted:
-        return _describe(event.item)
+        return _format_item(event.item)
     return {
         'key': event.item.key.decode(),
         'revision': event.item.mod_revision,
@@ -88,33 +101,33 @@
 
 
 class Faults:
-    """What goes wrong at present."""
+    """The active fault mode and its parameters."""
 
-    __slots__ = ('mode', 'seconds', 'fraction', 'ends', '_random')
+    __slots__ = ('mode', 'seconds', 'fraction', 'expires_at', '_random')
 
     def __init__(self) -> None:
         self.mode = 'up'
         self.seconds = 0.0
         self.fraction = 0.5
-        self.ends: float | None = None
+        self.expires_at: float | None = None
         self._random = random.Random(1)
 
-    def set(self, values: dict[str, typing.Any]) -> None:
-        """Take the fields of one order."""
+    def update(self, values: dict[str, typing.Any]) -> None:
+        """Apply the fields of a `/standin/faults` request."""
         self.mode = values.get('mode', self.mode)
         self.seconds = float(values.get('seconds', self.seconds))
         self.fraction = float(values.get('fraction', self.fraction))
-        lasting = values.get('for_seconds')
-        self.ends = time.monotonic() + lasting if lasting else None
+        duration = values.get('for_seconds')
+        self.expires_at = time.monotonic() + duration if duration else None
 
     def read_mode(self) -> str:
-        """Return the mode, which ends by itself when it was so ordered."""
-        if self.ends is not None and time.monotonic() >= self.ends:
-            self.mode, self.ends = 'up', None
+        """Return the mode; reset it to `up` if its time has expired."""
+        if self.expires_at is not None and time.monotonic() >= self.expires_at:
+            self.mode, self.expires_at = 'up', None
         return self.mode
 
     def loses_answer(self) -> bool:
-        """Say whether the present write's answer is lost."""
+        """Return whether the response to the current write is lost."""
         mode = self.read_mode()
         if mode == 'lose_some':
             return self._random.random() < self.fraction
@@ -122,103 +135,118 @@
 
 
 class KeyValueService:
-    """The service over one store, with counts and faults."""
-
-    __slots__ = ('_store', '_faults', '_totals', '_seconds', '_calls')
+    """WSGI application over one store, with call counts and faults."""
+
+    __slots__ = (
+        '_store',
+        '_faults',
+        '_call_totals',
+        '_calls_by_second',
+        '_handlers',
+    )
 
     def __init__(self) -> None:
         self._store = store.Store()
         self._faults = Faults()
-        self._totals: collections.Counter[str] = collections.Counter()
-        self._seconds: dict[int, collections.Counter[str]] = {}
-        self._calls = {
-            'read': self._read,
-            'range': self._range,
+        self._call_totals: collections.Counter[str] = collections.Counter()
+        self._calls_by_second: dict[int, collections.Counter[str]] = {}
+        self._handlers = {
+            'read': self._read_key,
+            'range': self._read_range,
             'txn': self._transact,
-            'lease': self._grant,
-            'renewal': self._renew,
-            'lease_end': self._end_lease,
+            'lease': self._grant_lease,
+            'renewal': self._renew_lease,
+            'lease_end': self._revoke_lease,
         }
-        gevent.spawn(self._end_leases)
+        gevent.spawn(self._run_lease_expiry)
 
     def read_revision(self) -> int:
-        """Return the revision of the last change."""
+        """Return the store's current revision."""
         return self._store.revision
 
-    def _end_leases(self) -> None:
+    def _run_lease_expiry(self) -> None:
         while True:
-            gevent.sleep(_LEASE_TICK_SECONDS)
-            self._store.end_leases()
+            gevent.sleep(_LEASE_EXPIRY_INTERVAL_SECONDS)
+            self._store.revoke_expired_leases()
 
     def __call__(
         self, environ: server.Environ, start_response: server.StartResponse
     ) -> typing.Iterable[bytes]:
         path = environ['PATH_INFO']
         if path.startswith('/standin/'):
-            return self._control(path, environ, start_response)
-        kind = _KINDS.get(path) or _KINDS.get(path.rpartition('/')[0])
+            return self._handle_control(path, environ, start_response)
+        kind = _CALL_NAMES.get(path) or _CALL_NAMES.get(
+            path.rpartition('/')[0]
+        )
         if kind is None:
-            return _answer(start_response, 404, {})
-        return self._serve(kind, environ, start_response)
+            return _respond(start_response, 404, {})
+        return self._handle_call(kind, environ, start_response)
 
-    def _serve(
+    def _handle_call(
         self,
         kind: str,
         environ: server.Environ,
         start_response: server.StartResponse,
     ) -> typing.Iterable[bytes]:
-        self._count(kind)
+        self._count_call(kind)
         values = _read_values(environ)
         mode = self._faults.read_mode()
         if mode == 'down':
-            server.cut(environ)
+            server.abort_connection(environ)
         if mode == 'slow':
             gevent.sleep(self._faults.seconds)
         try:
             if mode == 'refuse':
-                raise _Refusal(503)
+                raise _ErrorResponse(503)
             if mode == 'throttle':
-                raise _Refusal(429)
+                raise _ErrorResponse(429)
             if kind == 'watch':
-                answer = self._watch(values, environ)
+                response = self._wait_for_events(values, environ)
             else:
-                answer = self._calls[kind](values)
-        except _Refusal as refusal:
-            return _answer(start_response, refusal.status, refusal.values)
-        if kind in _WRITES and self._faults.loses_answer():
-            server.cut(environ)
-        return _answer(start_response, 200, answer)
-
-    def _count(self, kind: str) -> None:
-        self._totals[kind] += 1
+                response = self._handlers[kind](values)
+        except _ErrorResponse as error_response:
+            return _respond(
+                start_response, error_response.status, error_response.values
+            )
+        if kind in _WRITE_CALLS and self._faults.loses_answer():
+            server.abort_connection(environ)
+        return _respond(start_response, 200, response)
+
+    def _count_call(self, kind: str) -> None:
+        self._call_totals[kind] += 1
         second = int(time.time())
-        self._seconds.setdefault(second, collections.Counter())[kind] += 1
+        self._calls_by_second.setdefault(second, collections.Counter())[
+            kind
+        ] += 1
 
-    def _control(
+    def _handle_control(
         self,
         path: str,
         environ: server.Environ,
         start_response: server.StartResponse,
     ) -> typing.Iterable[bytes]:
         values = server.read_json(environ)
-        answer: dict[str, typing.Any] = {}
+        response: dict[str, typing.Any] = {}
         match path:
             case '/standin/faults':
-                self._faults.set(values)
+                self._faults.update(values)
                 if values.get('silent_watches'):
                     for watch in self._store.watches:
                         watch.silent = True
                 if values.get('mode') == 'down':
                     self._store.close_watches()
             case '/standin/calls':
-                answer = {'total': self._totals, 'seconds': self._seconds}
+                response = {
+                    'total': self._call_totals,
+                    'seconds': self._calls_by_second,
+                }
             case '/standin/put':
                 text = values['text'].encode()
                 revision = self._store.advance()
                 self._store.put(
                     values['key'].encode(), text, 0, revision=revision
                 )
-                answer = {'revision': revision}
+                response = {'revision': revision}
             case '/standin/remove':
                 self._store.delete(
                     values['key'].encode(), revision=self._store.advance()
@@ -230,16 +258,20 @@
             case '/standin/restore':
                 self._store.restore(values.get('name', ''))
             case _:
-                return _answer(start_response, 404, {})
-        return _answer(start_response, 200, answer)
+                return _respond(start_response, 404, {})
+        return _respond(start_response, 200, response)
 
-    def _read(self, values: dict[str, typing.Any]) -> dict[str, typing.Any]:
+    def _read_key(
+        self, values: dict[str, typing.Any]
+    ) -> dict[str, typing.Any]:
         item = self._store.items.get(values['key'].encode())
         if item is None:
-            raise _Refusal(404, at=self._store.revision)
-        return _describe(item) | {'at': self._store.revision}
+            raise _ErrorResponse(404, at=self._store.revision)
+        return _format_item(item) | {'at': self._store.revision}
 
-    def _range(self, values: dict[str, typing.Any]) -> dict[str, typing.Any]:
+    def _read_range(
+        self, values: dict[str, typing.Any]
+    ) -> dict[str, typing.Any]:
         after = values.get('after', '').encode()
         items = [
             each
@@ -251,7 +283,7 @@
             size += len(item.value)
             if page and size > _PAGE_BYTES:
                 break
-            page.append(_describe(item))
+            page.append(_format_item(item))
         return {
             'entries': page,
             'has_more': len(page) < len(items),
@@ -262,19 +294,19 @@
         self, values: dict[str, typing.Any]
     ) -> dict[str, typing.Any]:
         writes = values.get('write', ())
-        lost = [
+        conflicts = [
             each
             for each in values.get('expected_revision', ())
             if self._read_revision(each['key']) != each['revision']
         ]
-        if lost:
-            raise _Refusal(412, entries=lost)
+        if conflicts:
+            raise _ErrorResponse(412, entries=conflicts)
         for write in writes:
-            if len(base64.b64decode(write['value'])) > _MOST_BYTES:
-                raise _Refusal(400, error='the value is too large')
+            if len(base64.b64decode(write['value'])) > _MAX_VALUE_BYTES:
+                raise _ErrorResponse(400, error='the value exceeds 1 MiB')
             lease = write.get('lease', 0)
             if lease and lease not in self._store.leases:
-                raise _Refusal(404, error='no such lease')
+                raise _ErrorResponse(404, error='the lease does not exist')
         revision = self._store.advance()
         for write in writes:
             self._store.put(
@@ -291,75 +323,81 @@
         item = self._store.items.get(key.encode())
         return item.mod_revision if item else 0
 
-    def _grant(self, values: dict[str, typing.Any]) -> dict[str, typing.Any]:
+    def _grant_lease(
+        self, values: dict[str, typing.Any]
+    ) -> dict[str, typing.Any]:
         milliseconds = int(values['ttl_ms'])
         lease = self._store.grant(milliseconds / 1000)
         return {'lease': lease, 'ttl_ms': milliseconds}
 
-    def _renew(self, values: dict[str, typing.Any]) -> dict[str, typing.Any]:
+    def _renew_lease(
+        self, values: dict[str, typing.Any]
+    ) -> dict[str, typing.Any]:
         lease = self._store.leases.get(values['lease'])
         if lease is None:
-            raise _Refusal(404)
+            raise _ErrorResponse(404)
         lease.renew()
         return {'ttl_ms': int(lease.ttl_seconds * 1000)}
 
-    def _end_lease(
+    def _revoke_lease(
         self, values: dict[str, typing.Any]
     ) -> dict[str, typing.Any]:
         if not self._store.revoke(values['lease']):
-            raise _Refusal(404)
+            raise _ErrorResponse(404)
         return {}
 
-    def _watch(
+    def _wait_for_events(
         self, values: dict[str, typing.Any], environ: server.Environ
     ) -> dict[str, typing.Any]:
         if 'after' not in values:
-            raise _Refusal(400, error='no revision to watch from')
+            raise _ErrorResponse(400, error="the field 'after' is missing")
         after = int(values['after'])
-        if after < self._store.compacted:
-            raise _Refusal(410)
-        wait = min(int(values.get('wait_ms', 0)) / 1000, _MOST_WAIT_SECONDS)
+        if after < self._store.compacted_revision:
+            raise _ErrorResponse(410)
+        wait = min(int(values.get('wait_ms', 0)) / 1000, _MAX_WAIT_SECONDS)
         watch = self._store.open_watch(values['prefix'].encode(), after + 1)
-        watcher = gevent.spawn(server.wait_for_close, environ)
+        disconnect_watcher = gevent.spawn(server.wait_for_close, environ)
         try:
-            events = self._gather(watch, watcher, wait, environ)
+            events = self._collect_events(
+                watch, disconnect_watcher, wait, environ
+            )
         finally:
             self._store.watches.discard(watch)
-            watcher.kill()
+            disconnect_watcher.kill()
         return {
-            'events': [_describe_event(each) for each in events],
+            'events': [_format_event(each) for each in events],
             'at': self._store.revision,
         }
 
-    def _gather(
+    def _collect_events(
         self,
         watch: store.Watch,
-        watcher: gevent.Greenlet,
+        disconnect_watcher: gevent.Greenlet,
         wait_seconds: float,
         environ: server.Environ,
     ) -> list[store.Event]:
-        """Return the events so far, after the first or the whole wait."""
-        until = time.monotonic() + wait_seconds
+        """Wait for an event or the timeout; return all queued events."""
+        deadline = time.monotonic() + wait_seconds
         events: list[store.Event] = []
-        while watch.silent or not (events or time.monotonic() >= until):
-            if watcher.ready():
-                server.cut(environ)
-            left = max(0.0, until - time.monotonic())
+        while watch.silent or not (events or time.monotonic() >= deadline):
+            if disconnect_watcher.ready():
+                server.abort_connection(environ)
+            remaining = max(0.0, deadline - time.monotonic())
             try:
                 event = watch.events.get(
-                    timeout=min(left, _WATCH_TICK_SECONDS)
+                    timeout=min(remaining, _WATCH_POLL_SECONDS)
                     if not watch.silent
-                    else _WATCH_TICK_SECONDS
+                    else _WATCH_POLL_SECONDS
                 )
             except queue.Empty:
                 continue
             if event is None:
-                server.cut(environ)
+                server.abort_connection(environ)
             events.append(event)
         while not watch.events.empty():
             event = watch.events.get()
             if event is None:
-                server.cut(environ)
+                server.abort_connection(environ)
             events.append(event)
         return events
 
@@ -369,23 +407,25 @@
         urllib.parse.parse_qsl(environ['QUERY_STRING'], keep_blank_values=True)
     )
     values |= server.read_json(environ)
-    last = environ['PATH_INFO'].rpartition('/')[2]
-    if last.isdigit():
-        values['lease'] = int(last)
+    last_segment = environ['PATH_INFO'].rpartition('/')[2]
+    if last_segment.isdigit():
+        values['lease'] = int(last_segment)
     return values
 
 
-def _answer(
+def _respond(
     start_response: server.StartResponse, status: int, values: object
 ) -> list[bytes]:
-    return server.answer_json(
+    return server.respond_json(
         start_response, values, status=_STATUSES.get(status, '200 OK')
     )
 
 
 def main() -> None:
-    """Run the program."""
-    options = server.build_parser('A key-value service.').parse_args()
+    """Run the service as a program."""
+    options = server.build_parser(
+        'A simulated key-value service.'
+    ).parse_args()
     server.run(KeyValueService(), port=options.port)
 
 
--- a/standins/listed.py
+++ b/standins/listed.py
@@ -1,21 +1,31 @@
-"""A backend server that lists itself in the platform's store.
+"""A simulated backend server that registers itself in the platform's store.
 
     python -m standins.listed --name i-1 --service llm --store IP:PORT
 
-Answers streams of `EVENTS` events on `/chat/` and `/once/`, whole answers
-elsewhere, each signed and with its attempt's id. For each run it prints a
-JSON line, so that what ran is known even if the process is killed.
-
-`POST /standin/list` with `address` starts the listing: an entry under a lease
-that is renewed. `POST /standin/faults` with `mode` and `fraction` of requests:
-`ok`, `errors` (its own 500), `hang` (no answer, though it runs), `cut` (the
-connection ends in the midst of an answer), `foreign` (an answer that belongs
-to another attempt comes first), `refuse` (503, not run), `back_off` (the same
-with `Retry-After`) and `slow`. It prints a JSON line with the time of each
-request that is not misdirected, and of each answer with `Retry-After`. SIGTERM
-lists it as leaving, and ends it `--leave-seconds` later. After SIGTERM or
-`POST /standin/leaving`, its answers to requests carry `Server-Leaving: 1`. A
-request whose body begins with `crash` crashes the process when it is run.
+Responds with streams of `EVENTS` events on `/chat/` and `/once/`, and with
+complete responses on other paths. Responses carry the server's seal (unless
+the request was not executed) and the attempt id. For each execution, the
+server prints a JSON line, so that a test knows what was executed even if the
+process is killed.
+
+`POST /standin/list` with `address` starts the registration: an entry under a
+lease that is renewed periodically. `POST /standin/faults` takes `mode` and the
+`fraction` of requests that it affects:
+
+- `ok`: no fault;
+- `errors`: the server responds with a 500 of its own;
+- `hang`: the request is executed, and the server doesn't respond;
+- `cut`: the connection is closed before the response is complete;
+- `foreign`: a response to another attempt precedes the response;
+- `refuse`: the server responds with a 503 without executing the request;
+- `back_off`: as `refuse`, with a `Retry-After` header;
+- `slow`: the response is delayed.
+
+The server prints a JSON line with the time of each request that is not
+misdirected, and of each response with `Retry-After`. On SIGTERM it marks its
+entry as draining, and stops `--leave-seconds` later. After SIGTERM or
+`POST /standin/leaving`, its responses to requests carry `Server-Leaving: 1`. A
+request whose body starts with `crash` crashes the process when it is executed.
 """
 
 import base64
@@ -34,20 +44,20 @@
 from standins import server
 
 EVENTS = 12
-# Prefix of request bodies that crash the server.
+# Prefix of the request bodies that crash the server.
 CRASH_PREFIX = b'crash'
 RETRY_AFTER_SECONDS = 2.0
 _TTL_SECONDS = 1.5
-_RENEW_SECONDS = 0.4
-_WORK_SECONDS = 0.01
-_GAP_SECONDS = 0.015
+_RENEW_INTERVAL_SECONDS = 0.4
+_PROCESSING_SECONDS = 0.01
+_EVENT_INTERVAL_SECONDS = 0.015
 _SLOW_SECONDS = 0.3
-_NOT_RUN = ('Amaranthslip-Not-Executed', '1')
-_STREAMS = ('/chat/', '/once/')
+_NOT_EXECUTED_HEADER = ('Amaranthslip-Not-Executed', '1')
+_STREAM_PREFIXES = ('/chat/', '/once/')
 
 
 class Listing:
-    """The server's entry in the store, under a lease."""
+    """The server's entry in the store, bound to a lease."""
 
     __slots__ = (
         'name',
@@ -56,7 +66,7 @@
         '_client',
         '_values',
         '_lease',
-        '_written',
+        '_last_written',
     )
 
     def __init__(self, name: str, service: str, store: str) -> None:
@@ -77,43 +87,44 @@
             'born': self.started_ms,
         }
         self._lease = 0
-        self._written = ''
+        self._last_written = ''
 
-    def keep(self, address: str) -> None:
-        """Hold the entry, through outages of the store."""
+    def maintain(self, address: str) -> None:
+        """Renew the entry indefinitely; retry while the store is down."""
         self._values['address'] = address
         while True:
             try:
                 self._renew()
             except (OSError, ValueError, KeyError, response.HTTPParseError):
-                # The store is away; the entry may lapse until it is back.
+                # The store is unavailable: the entry may expire, and is
+                # written again once the store responds.
                 pass
-            gevent.sleep(_RENEW_SECONDS)
+            gevent.sleep(_RENEW_INTERVAL_SECONDS)
 
     def _renew(self) -> None:
-        status, _ = self._call(f'/-/kv-keep/{self._lease}', {})
+        status, _ = self._post(f'/-/kv-keep/{self._lease}', {})
         if status == 404:
             ttl = {'ttl_ms': int(_TTL_SECONDS * 1000)}
-            self._lease = self._call('/-/kv-lease', ttl)[1]['lease']
-            self._written = ''
+            self._lease = self._post('/-/kv-lease', ttl)[1]['lease']
+            self._last_written = ''
         text = json.dumps(self._values | {'state': self.state})
-        if text == self._written:
+        if text == self._last_written:
             return
         value = base64.b64encode(text.encode()).decode()
         key = f'servers/{self.name}'
         write = {'key': key, 'value': value, 'lease': self._lease}
-        if self._call('/-/kv-txn', {'write': [write]})[0] == 200:
-            self._written = text
+        if self._post('/-/kv-txn', {'write': [write]})[0] == 200:
+            self._last_written = text
 
-    def _call(
+    def _post(
         self, path: str, values: dict[str, object]
     ) -> tuple[int, dict[str, typing.Any]]:
-        with self._client.post(path, json.dumps(values)) as answer:
-            return answer.status_code, json.loads(answer.read() or '{}')
+        with self._client.post(path, json.dumps(values)) as reply:
+            return reply.status_code, json.loads(reply.read() or '{}')
 
 
 class ListedService:
-    """The HTTP side of the server."""
+    """WSGI application of the server."""
 
     __slots__ = (
         '_listing',
@@ -126,7 +137,7 @@
 
     def __init__(self, listing: Listing, *, seed: int) -> None:
         self._listing = listing
-        # Unique to each start of a server, including restarts under its name.
+        # Distinguishes restarts of a server under the same name.
         self._start_id = f'{listing.name}-{listing.started_ms}'
         self._random = random.Random(seed)
         self._mode = 'ok'
@@ -138,27 +149,29 @@
     ) -> typing.Iterable[bytes]:
         path = environ['PATH_INFO']
         if path.startswith('/standin/'):
-            return self._control(path, environ, start_response)
-        attempt = environ.get('HTTP_AMARANTHSLIP_ATTEMPT_ID', '')
+            return self._handle_control(path, environ, start_response)
+        attempt_id = environ.get('HTTP_AMARANTHSLIP_ATTEMPT_ID', '')
         expected = environ.get('HTTP_AMARANTHSLIP_EXPECT_INSTANCE', '')
-        respond = functools.partial(self._respond, start_response, attempt)
+        respond = functools.partial(self._respond, start_response, attempt_id)
         if expected and expected != self._listing.name:
-            return respond('421 Misdirected Request', [_NOT_RUN])
-        _print_time('arrival', attempt)
-        fault = self._draw_fault()
+            return respond('421 Misdirected Request', [_NOT_EXECUTED_HEADER])
+        _print_timestamp('arrival', attempt_id)
+        fault = self._choose_fault()
         if fault == 'refuse':
-            return respond('503 Service Unavailable', [_NOT_RUN])
+            return respond('503 Service Unavailable', [_NOT_EXECUTED_HEADER])
         if fault == 'back_off':
-            _print_time('back_off', attempt)
+            _print_timestamp('back_off', attempt_id)
             retry_after = ('Retry-After', str(RETRY_AFTER_SECONDS))
-            return respond('503 Service Unavailable', [_NOT_RUN, retry_after])
+            return respond(
+                '503 Service Unavailable', [_NOT_EXECUTED_HEADER, retry_after]
+            )
         body = environ['wsgi.input'].read()
-        _print_run(environ, self._start_id, attempt, body)
+        _print_execution(environ, self._start_id, attempt_id, body)
         if body.startswith(CRASH_PREFIX):
             os._exit(1)
-        return self._run(fault, environ, respond)
+        return self._execute(fault, environ, respond)
 
-    def _control(
+    def _handle_control(
         self,
         path: str,
         environ: server.Environ,
@@ -166,34 +179,34 @@
     ) -> typing.Iterable[bytes]:
         values = server.read_json(environ)
         if path == '/standin/list':
-            gevent.spawn(self._listing.keep, values['address'])
+            gevent.spawn(self._listing.maintain, values['address'])
         if path == '/standin/leaving':
             self.leaving = True
         if path == '/standin/faults':
             self._mode = values['mode']
             self._fraction = values.get('fraction', 1.0)
-        return server.answer_json(start_response, {})
+        return server.respond_json(start_response, {})
 
-    def _draw_fault(self) -> str:
-        hit = self._random.random() < self._fraction
-        return self._mode if hit else 'ok'
+    def _choose_fault(self) -> str:
+        is_faulty = self._random.random() < self._fraction
+        return self._mode if is_faulty else 'ok'
 
     def _respond(
         self,
         start_response: server.StartResponse,
-        attempt: str,
+        attempt_id: str,
         status: str,
         headers: list[tuple[str, str]],
         body: bytes | None = b'',
     ) -> list[bytes]:
         pairs = [
-            ('Amaranthslip-Attempt-Id', attempt),
+            ('Amaranthslip-Attempt-Id', attempt_id),
             ('Amaranthslip-Server-Load', '1,0,8'),
             *headers,
         ]
         if self.leaving:
             pairs.append(('Server-Leaving', '1'))
-        if _NOT_RUN not in headers:
+        if _NOT_EXECUTED_HEADER not in headers:
             seal = f'seal-{self._start_id}'
             pairs.append(('Amaranthslip-Server-Seal', seal))
         if body is not None:
@@ -201,7 +214,7 @@
         start_response(status, pairs)
         return [body or b'']
 
-    def _run(
+    def _execute(
         self,
         fault: str,
         environ: server.Environ,
@@ -213,46 +226,52 @@
             server.hang(environ)
         if fault == 'errors':
             return respond('500 Internal Server Error', [])
-        attempt = environ['HTTP_AMARANTHSLIP_ATTEMPT_ID']
+        attempt_id = environ['HTTP_AMARANTHSLIP_ATTEMPT_ID']
         if fault == 'foreign':
-            _write_foreign_answer(environ)
-        if environ['PATH_INFO'].startswith(_STREAMS):
+            _send_foreign_response(environ)
+        if environ['PATH_INFO'].startswith(_STREAM_PREFIXES):
             respond('200 OK', [('Content-Type', 'text/event-stream')], None)
-            resumed = int(environ.get('HTTP_LAST_EVENT_ID') or 0)
-            return self._stream(fault, environ, attempt, resumed + 1)
-        gevent.sleep(_WORK_SECONDS)
+            last_event_id = int(environ.get('HTTP_LAST_EVENT_ID') or 0)
+            return self._stream(fault, environ, attempt_id, last_event_id + 1)
+        gevent.sleep(_PROCESSING_SECONDS)
         if fault == 'cut':
-            server.cut(environ)
-        values = {'server': self._start_id, 'attempt': attempt}
+            server.abort_connection(environ)
+        values = {'server': self._start_id, 'attempt': attempt_id}
         return respond('200 OK', [], json.dumps(values).encode())
 
     def _stream(
-        self, fault: str, environ: server.Environ, attempt: str, first: int
+        self,
+        fault: str,
+        environ: server.Environ,
+        attempt_id: str,
+        first_number: int,
     ) -> typing.Iterator[bytes]:
-        last = self._random.randint(first, EVENTS) if fault == 'cut' else 0
-        for number in range(first, EVENTS + 1):
+        aborted_number = (
+            self._random.randint(first_number, EVENTS) if fault == 'cut' else 0
+        )
+        for number in range(first_number, EVENTS + 1):
             event = b'id: %d\ndata: %s:%d\n\n' % (
                 number,
-                attempt.encode(),
+                attempt_id.encode(),
                 number,
             )
-            if number == last:
+            if number == aborted_number:
                 yield event[: self._random.randrange(1, len(event))]
-                server.cut(environ)
+                server.abort_connection(environ)
             yield event
-            gevent.sleep(_GAP_SECONDS)
+            gevent.sleep(_EVENT_INTERVAL_SECONDS)
 
 
-def _print_time(kind: str, attempt: str) -> None:
-    line = {kind: attempt, 'at': time.monotonic()}
+def _print_timestamp(kind: str, attempt_id: str) -> None:
+    line = {kind: attempt_id, 'at': time.monotonic()}
     print(json.dumps(line), flush=True)
 
 
-def _print_run(
-    environ: server.Environ, start_id: str, attempt: str, body: bytes
+def _print_execution(
+    environ: server.Environ, start_id: str, attempt_id: str, body: bytes
 ) -> None:
     line = {
-        'run': attempt,
+        'run': attempt_id,
         'server': start_id,
         'account': environ.get('HTTP_AMARANTHSLIP_TENANT', ''),
         'has_key': 'HTTP_AUTHORIZATION' in environ,
@@ -262,8 +281,9 @@
     print(json.dumps(line), flush=True)
 
 
-def _write_foreign_answer(environ: server.Environ) -> None:
-    # As a late answer to what an earlier user of the connection gave up.
+def _send_foreign_response(environ: server.Environ) -> None:
+    # Simulates a late response to a request that an earlier user of the
+    # connection abandoned.
     body = b'{"server": "?", "attempt": "another"}'
     environ['standin.socket'].sendall(
         b'HTTP/1.1 200 OK\r\nAmaranthslip-Attempt-Id: another\r\n'
@@ -273,8 +293,10 @@
 
 
 def main() -> None:
-    """Run the program."""
-    parser = server.build_parser('A backend server that lists itself.')
+    """Run the server as a program."""
+    parser = server.build_parser(
+        'A simulated backend server that registers itself.'
+    )
     parser.add_argument('--name', required=True)
     parser.add_argument('--service', required=True)
     parser.add_argument('--store', required=True, metavar='IP:PORT')
@@ -283,18 +305,18 @@
     options = parser.parse_args()
     listing = Listing(options.name, options.service, options.store)
     service = ListedService(listing, seed=options.seed)
-    own = server.Server(service, port=options.port)
+    http_server = server.Server(service, port=options.port)
 
-    def leave() -> None:
+    def drain_and_stop() -> None:
         listing.state = 'draining'
         service.leaving = True
         gevent.sleep(options.leave_seconds)
-        own.stop(timeout=0)
+        http_server.stop(timeout=0)
 
-    gevent.signal_handler(signal.SIGTERM, leave)
-    own.start()
-    print(json.dumps({'port': own.server_port}), flush=True)
-    own.serve_forever(stop_timeout=0)
+    gevent.signal_handler(signal.SIGTERM, drain_and_stop)
+    http_server.start()
+    print(json.dumps({'port': http_server.server_port}), flush=True)
+    http_server.serve_forever(stop_timeout=0)
 
 
 if __name__ == '__main__':
--- a/standins/pipes.py
+++ b/standins/pipes.py
@@ -1,4 +1,4 @@
-"""One direction of a proxied connection, with its faults."""
+"""Forwarding in one direction of a proxied connection, with faults."""
 
 import collections
 import time
@@ -13,10 +13,11 @@
 
 
 class Direction:
-    """The faults and the count of one direction of a listener.
+    """Faults and byte count of one direction of a listener.
 
-    A dropped direction is read and thrown away, as a network that loses
-    each packet one way looks to both ends until a timeout.
+    With `drop`, received bytes are read and discarded. To both ends this looks
+    like a network that loses every packet in one direction: neither detects
+    the loss before a timeout.
     """
 
     __slots__ = (
@@ -34,7 +35,7 @@
         self.heal()
 
     def heal(self) -> None:
-        """End every fault of this direction."""
+        """Clear every fault of this direction."""
         self.delay_seconds = 0.0
         self.drop = False
         self.bytes_per_second = 0.0
@@ -43,7 +44,7 @@
 
     @property
     def hold(self) -> bool:
-        """Whether bytes are kept back, to be released later in order."""
+        """Whether bytes are buffered, to be forwarded in order later."""
         return not self._released.is_set()
 
     @hold.setter
@@ -54,12 +55,12 @@
             self._released.set()
 
     def wait_for_release(self) -> None:
-        """Return when bytes are not held."""
+        """Wait until `hold` is cleared."""
         self._released.wait()
 
 
 class Pipe:
-    """One direction of one connection: a reader and a late writer."""
+    """One direction of a connection: a reader, a queue and a writer."""
 
     __slots__ = (
         '_source',
@@ -67,9 +68,9 @@
         '_direction',
         '_queue',
         '_queued_bytes',
-        '_changed',
-        '_passed',
-        '_reset',
+        '_queue_filled',
+        '_forwarded_bytes',
+        '_reset_connection',
         '_on_end',
     )
 
@@ -78,24 +79,24 @@
         source: socket.socket,
         sink: socket.socket,
         direction: Direction,
-        reset: typing.Callable[[], None],
+        reset_connection: typing.Callable[[], None],
         *,
         on_end: typing.Callable[[], None] = lambda: None,
     ) -> None:
         self._source = source
         self._sink = sink
         self._direction = direction
-        self._reset = reset
+        self._reset_connection = reset_connection
         self._on_end = on_end
         self._queue: collections.deque[tuple[float, bytes]] = (
             collections.deque()
         )
         self._queued_bytes = 0
-        self._changed = event.Event()
-        self._passed = 0
+        self._queue_filled = event.Event()
+        self._forwarded_bytes = 0
 
     def read(self) -> None:
-        """Queue what comes in, with the time at which it may go on."""
+        """Queue received data with the earliest time to forward it."""
         while True:
             try:
                 data = self._source.recv(CHUNK_BYTES)
@@ -105,10 +106,10 @@
                 self._on_end()
             if data and self._direction.drop:
                 continue
-            due = time.monotonic() + self._direction.delay_seconds
-            self._queue.append((due, data))
+            forward_at = time.monotonic() + self._direction.delay_seconds
+            self._queue.append((forward_at, data))
             self._queued_bytes += len(data)
-            self._changed.set()
+            self._queue_filled.set()
             if not data:
                 return
             while self._queued_bytes > _QUEUED_BYTES_LIMIT or (
@@ -117,47 +118,47 @@
                 gevent.sleep(0.01)
 
     def write(self) -> None:
-        """Pass the queue on, at the ordered time and pace."""
+        """Forward queued data with the configured delay and rate."""
         direction = self._direction
         while True:
             while not self._queue:
-                self._changed.clear()
-                self._changed.wait()
-            due, data = self._queue.popleft()
+                self._queue_filled.clear()
+                self._queue_filled.wait()
+            forward_at, data = self._queue.popleft()
             self._queued_bytes -= len(data)
-            gevent.sleep(max(0.0, due - time.monotonic()))
+            gevent.sleep(max(0.0, forward_at - time.monotonic()))
             direction.wait_for_release()
             if not data:
-                # A dropped direction loses the end of the stream as well.
+                # With `drop`, the end of the stream is lost as well.
                 if not direction.drop:
-                    self._shut()
+                    self._shut_down_sink()
                 return
             if direction.drop:
                 continue
-            if not self._pass(data):
+            if not self._forward(data):
                 return
 
-    def _shut(self) -> None:
+    def _shut_down_sink(self) -> None:
         try:
             self._sink.shutdown(socket.SHUT_WR)
         except OSError:
             pass
 
-    def _pass(self, data: bytes) -> bool:
+    def _forward(self, data: bytes) -> bool:
         direction = self._direction
         limit = direction.reset_after_bytes
         if limit is not None:
-            data = data[: max(0, limit - self._passed)]
+            data = data[: max(0, limit - self._forwarded_bytes)]
         if direction.bytes_per_second:
             gevent.sleep(len(data) / direction.bytes_per_second)
         try:
             self._sink.sendall(data)
         except OSError:
-            self._reset()
+            self._reset_connection()
             return False
-        self._passed += len(data)
+        self._forwarded_bytes += len(data)
         direction.bytes += len(data)
-        if limit is not None and self._passed >= limit:
-            self._reset()
+        if limit is not None and self._forwarded_bytes >= limit:
+            self._reset_connection()
             return False
         return True
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,21 +1,25 @@
-"""A TCP proxy that injects faults, for one or several listeners.
+"""A TCP proxy with one or more listeners that injects network faults.
 
-In a process: `proxy = Proxy(); listener = proxy.listen('127.0.0.1:7000')`,
+As a library: `proxy = Proxy(); listener = proxy.listen('127.0.0.1:7000')`,
 then `listener.up.delay_seconds = 0.1`. As a program:
 
     python -m standins.proxy --target a=127.0.0.1:7000 --target b=...
 
-which prints `{"port": control port, "listeners": {"a": port, ...}}`.
+The program prints `{"port": control port, "listeners": {"a": port, ...}}`.
+
 `POST /standin/faults` with `{"listener": "a", "direction": "up"|"down"|"both",
 "delay_seconds": 0.1, "drop": true, "bytes_per_second": 1000,
-"reset_after_bytes": 10, "hold": true}` sets what is named and leaves the
-rest; `up` is from the dialling side to the target. For a whole listener:
-`{"listener": "a", "half_open": true}` (new connections are accepted and never
-forwarded), `"refuse": true` (new connections are refused by the kernel),
-`"cut": true` (all present connections are closed now) and `"heal": true`
-(no faults any more). `POST /standin/listen` with `{"name", "target"}` adds a
-listener and returns its port. `GET /standin/stats` returns bytes and
-connections.
+"reset_after_bytes": 10, "hold": true}` sets the given fields and keeps the
+others; `up` is the direction from the client to the target. These fields apply
+to the whole listener:
+
+- `"half_open": true`: new connections are accepted and never forwarded;
+- `"refuse": true`: new connections are refused by the kernel;
+- `"cut": true`: all open connections are reset now;
+- `"heal": true`: all faults are cleared.
+
+`POST /standin/listen` with `{"name", "target"}` adds a listener and returns
+its port. `GET /standin/stats` returns byte and connection counts by listener.
 """
 
 import struct
@@ -31,16 +35,16 @@
 _BACKLOG = 1024
 _CONNECT_SECONDS = 5.0
 _PROBE_INTERVAL_SECONDS = 0.05
-_RESET = struct.pack('ii', 1, 0)
+_LINGER_RESET = struct.pack('ii', 1, 0)
 
 
 class _Connection:
-    """One accepted connection and its way to the target."""
+    """An accepted connection and the matching connection to the target."""
 
-    __slots__ = ('_sockets', '_greenlets')
+    __slots__ = ('_endpoints', '_greenlets')
 
     def __init__(self, *sockets: socket.socket) -> None:
-        self._sockets = sockets
+        self._endpoints = sockets
         self._greenlets: list[gevent.Greenlet] = []
 
     def run(
@@ -54,43 +58,51 @@
         Parameters
         ----------
         on_target_end : callable
-            Called when the target closes the connection, before this is
-            forwarded to the dialling side.
+            Called when the target closes the connection, before the close is
+            forwarded to the client.
         """
-        near, far = self._sockets
-        both = [
-            pipes.Pipe(near, far, up, self.cut),
-            pipes.Pipe(far, near, down, self.cut, on_end=on_target_end),
+        client_socket, target_socket = self._endpoints
+        both_pipes = [
+            pipes.Pipe(client_socket, target_socket, up, self.cut),
+            pipes.Pipe(
+                target_socket,
+                client_socket,
+                down,
+                self.cut,
+                on_end=on_target_end,
+            ),
         ]
-        for pipe in both:
+        for pipe in both_pipes:
             self._greenlets.append(gevent.spawn(pipe.read))
             self._greenlets.append(gevent.spawn(pipe.write))
         gevent.joinall(self._greenlets)
-        self._close()
+        self._close_sockets()
 
     def cut(self) -> None:
-        """Reset both ends at once."""
-        for each in self._sockets:
+        """Reset the connections to client and target immediately."""
+        for each in self._endpoints:
             try:
-                each.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+                each.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
+                )
             except OSError:
                 pass
-        self._close()
+        self._close_sockets()
         current = gevent.getcurrent()
         others = [each for each in self._greenlets if each is not current]
         gevent.killall(others, block=False)
 
-    def _close(self) -> None:
-        for each in self._sockets:
+    def _close_sockets(self) -> None:
+        for each in self._endpoints:
             each.close()
 
 
 def _bind(port: int) -> socket.socket:
-    bound = socket.socket()
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-    bound.bind(('127.0.0.1', port))
-    return bound
+    bound_socket = socket.socket()
+    bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+    bound_socket.bind(('127.0.0.1', port))
+    return bound_socket
 
 
 class Listener:
@@ -105,8 +117,8 @@
         'accepted',
         '_connections',
         '_server',
-        '_reserved',
-        '_probe',
+        '_port_reservation',
+        '_target_probe',
     )
 
     def __init__(self, target: str, *, port: int = 0) -> None:
@@ -118,30 +130,32 @@
         self.accepted = 0
         self._connections: set[_Connection] = set()
         self._server: gevent_server.StreamServer | None = None
-        self._probe: gevent.Greenlet | None = None
-        # Bound and never listening, it keeps the port from other processes
-        # while connections are refused: without it, `accept` found the port
-        # taken now and then.
-        self._reserved = _bind(port)
-        self.port = self._reserved.getsockname()[1]
+        self._target_probe: gevent.Greenlet | None = None
+        # Reserves the port while connections are refused: this socket is
+        # bound and never listens. Without it, another process occasionally
+        # took the port before `accept` listened on it again.
+        self._port_reservation = _bind(port)
+        self.port = self._port_reservation.getsockname()[1]
         self.accept()
 
     @property
     def address(self) -> str:
-        """Where to dial, as `IP:port`."""
+        """Listening address, as `IP:port`."""
         return f'127.0.0.1:{self.port}'
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._connections)
 
     def accept(self) -> None:
-        """Listen (again)."""
+        """Start listening, unless the listener already does."""
         if self._server is None:
             listening = _bind(self.port)
             listening.listen(_BACKLOG)
-            self._server = gevent_server.StreamServer(listening, self._serve)
+            self._server = gevent_server.StreamServer(
+                listening, self._handle_connection
+            )
             self._server.start()
 
     def refuse(self) -> None:
@@ -151,15 +165,15 @@
             self._server = None
 
     def cut(self) -> None:
-        """Reset every present connection, and return when that is done."""
-        present = list(self._connections)
-        for connection in present:
+        """Reset every open connection and wait until all have ended."""
+        open_connections = list(self._connections)
+        for connection in open_connections:
             connection.cut()
-        while any(each in self._connections for each in present):
+        while any(each in self._connections for each in open_connections):
             gevent.sleep(0.001)
 
     def heal(self) -> None:
-        """End every fault; connections that were cut stay cut."""
+        """Clear every fault; connections that were reset stay closed."""
         self.up.heal()
         self.down.heal()
         self.half_open = False
@@ -168,17 +182,17 @@
     def refuse_until_target_listens(self) -> None:
         """Refuse new connections while the target refuses them.
 
-        Otherwise the dialling side would see a reset, and could not detect
-        that the target process has exited.
+        Otherwise the client would see a reset instead of a refused
+        connection, and could not detect that the target process has exited.
         """
-        if self._probe is None and not self._is_target_listening():
+        if self._target_probe is None and not self._is_target_listening():
             self.refuse()
-            self._probe = gevent.spawn(self._wait_for_target)
+            self._target_probe = gevent.spawn(self._wait_for_target)
 
     def _wait_for_target(self) -> None:
         while not self._is_target_listening():
             gevent.sleep(_PROBE_INTERVAL_SECONDS)
-        self._probe = None
+        self._target_probe = None
         self.accept()
 
     def _is_target_listening(self) -> bool:
@@ -197,28 +211,32 @@
         )
 
     def close(self) -> None:
-        """Stop listening and cut everything."""
-        if self._probe is not None:
-            self._probe.kill()
+        """Stop listening and reset every connection."""
+        if self._target_probe is not None:
+            self._target_probe.kill()
         self.refuse()
-        self._reserved.close()
+        self._port_reservation.close()
         self.cut()
 
-    def _serve(self, near: socket.socket, address: object) -> None:
+    def _handle_connection(
+        self, client_socket: socket.socket, address: object
+    ) -> None:
         self.accepted += 1
         if self.half_open:
-            self._hold(near)
+            self._serve_half_open(client_socket)
             return
         try:
-            far = self._dial_target()
+            target_socket = self._dial_target()
         except OSError:
-            near.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-            near.close()
+            client_socket.setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
+            )
+            client_socket.close()
             return
-        far.settimeout(None)
-        for each in (near, far):
+        target_socket.settimeout(None)
+        for each in (client_socket, target_socket):
             each.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        connection = _Connection(near, far)
+        connection = _Connection(client_socket, target_socket)
         self._connections.add(connection)
         try:
             connection.run(
@@ -227,22 +245,23 @@
         finally:
             self._connections.discard(connection)
 
-    def _hold(self, near: socket.socket) -> None:
-        # As a host that vanished after its handshake: nothing is answered.
-        held = _Connection(near)
-        self._connections.add(held)
+    def _serve_half_open(self, client_socket: socket.socket) -> None:
+        # Simulates a host that fails after the TCP handshake: received bytes
+        # are discarded and nothing is sent.
+        connection = _Connection(client_socket)
+        self._connections.add(connection)
         try:
-            while near.recv(pipes.CHUNK_BYTES):
+            while client_socket.recv(pipes.CHUNK_BYTES):
                 pass
         except OSError:
             pass
         finally:
-            held.cut()
-            self._connections.discard(held)
+            connection.cut()
+            self._connections.discard(connection)
 
 
 class Proxy:
-    """Owns listeners; `close` ends them all."""
+    """A set of listeners; `close` closes all of them."""
 
     __slots__ = ('listeners',)
 
@@ -269,7 +288,7 @@
 
 
 class Control:
-    """The HTTP control of a proxy that runs as a program."""
+    """WSGI application that controls a proxy that runs as a program."""
 
     __slots__ = ('_proxy',)
 
@@ -282,26 +301,28 @@
         values = server.read_json(environ)
         match environ['PATH_INFO']:
             case '/standin/faults':
-                _order(self._proxy.listeners[values['listener']], values)
-                answer: dict[str, typing.Any] = {}
+                _apply_faults(
+                    self._proxy.listeners[values['listener']], values
+                )
+                response: dict[str, typing.Any] = {}
             case '/standin/listen':
                 listener = self._proxy.listen(
                     values['target'], name=values.get('name', '')
                 )
-                answer = {'port': listener.port}
+                response = {'port': listener.port}
             case '/standin/stats':
-                answer = {
-                    name: _describe(listener)
+                response = {
+                    name: _format_stats(listener)
                     for name, listener in self._proxy.listeners.items()
                 }
             case _:
-                return server.answer_json(
+                return server.respond_json(
                     start_response, {}, status='404 Not Found'
                 )
-        return server.answer_json(start_response, answer)
+        return server.respond_json(start_response, response)
 
 
-def _order(listener: Listener, values: dict[str, typing.Any]) -> None:
+def _apply_faults(listener: Listener, values: dict[str, typing.Any]) -> None:
     if values.get('heal'):
         listener.heal()
     if 'half_open' in values:
@@ -325,7 +346,7 @@
         listener.cut()
 
 
-def _describe(listener: Listener) -> dict[str, typing.Any]:
+def _format_stats(listener: Listener) -> dict[str, typing.Any]:
     return {
         'port': listener.port,
         'accepted': listener.accepted,
@@ -336,8 +357,8 @@
 
 
 def main() -> None:
-    """Run the program."""
-    parser = server.build_parser('A TCP proxy that injects faults.')
+    """Run the proxy as a program."""
+    parser = server.build_parser('A TCP proxy that injects network faults.')
     parser.add_argument(
         '--target', action='append', default=[], metavar='NAME=IP:PORT'
     )
--- a/standins/server.py
+++ b/standins/server.py
@@ -1,4 +1,4 @@
-"""What every stand-in program shares: serving, JSON, and broken answers."""
+"""HTTP serving, JSON and connection faults shared by the programs."""
 
 import argparse
 import json
@@ -10,19 +10,19 @@
 from gevent import pywsgi
 
 _BACKLOG = 1024
-_SOCKET = 'standin.socket'
+_SOCKET_KEY = 'standin.socket'
 
 StartResponse = typing.Callable[..., typing.Any]
 Environ = dict[str, typing.Any]
 Application = typing.Callable[[Environ, StartResponse], typing.Iterable[bytes]]
 
 
-class ConnectionCut(Exception):
-    """The connection was closed on purpose: no answer is to be written."""
+class ConnectionAborted(Exception):
+    """The connection was closed to simulate a fault; no response follows."""
 
 
 class _Handler(pywsgi.WSGIHandler):
-    """Gives the application its connection's socket."""
+    """Passes the connection's socket to the application in the environ."""
 
     def handle(self) -> None:
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -30,18 +30,18 @@
 
     def get_environ(self) -> Environ:
         environ = super().get_environ()
-        environ[_SOCKET] = self.socket
+        environ[_SOCKET_KEY] = self.socket
         return environ
 
     def handle_error(self, kind, value, traceback) -> None:
-        if isinstance(value, ConnectionCut):
+        if isinstance(value, ConnectionAborted):
             self.close_connection = True
             return
         super().handle_error(kind, value, traceback)
 
 
 class Server(pywsgi.WSGIServer):
-    """One stand-in's HTTP server on 127.0.0.1."""
+    """HTTP server of one simulated system, on 127.0.0.1."""
 
     def __init__(self, application: Application, *, port: int = 0) -> None:
         super().__init__(
@@ -54,29 +54,31 @@
 
 
 def build_parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser that knows the options of every stand-in."""
+    """Return a parser with the options that all programs share."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument('--port', type=int, default=0)
     return parser
 
 
-def run(application: Application, *, port: int, **announced: object) -> None:
+def run(
+    application: Application, *, port: int, **extra_fields: object
+) -> None:
     """Serve until SIGTERM; print one JSON line with the port when ready."""
     server = Server(application, port=port)
     gevent.signal_handler(signal.SIGTERM, server.stop, timeout=0)
     server.start()
-    ready = {'port': server.server_port} | announced
-    print(json.dumps(ready), flush=True)
+    ready_message = {'port': server.server_port} | extra_fields
+    print(json.dumps(ready_message), flush=True)
     server.serve_forever(stop_timeout=0)
 
 
 def read_json(environ: Environ) -> dict[str, typing.Any]:
-    """Return the request's body as a JSON object; empty is an empty one.
+    """Return the request body as a JSON object; an empty body gives {}.
 
     Raises
     ------
     ValueError
-        The body is no JSON object.
+        The body is not a JSON object.
     """
     body = environ['wsgi.input'].read()
     value = json.loads(body) if body else {}
@@ -85,13 +87,13 @@
     return value
 
 
-def answer_json(
+def respond_json(
     start_response: StartResponse,
     value: object,
     *,
     status: str = '200 OK',
 ) -> list[bytes]:
-    """Answer with one JSON value."""
+    """Respond with a JSON value."""
     body = json.dumps(value).encode()
     headers = [
         ('Content-Type', 'application/json'),
@@ -101,29 +103,29 @@
     return [body]
 
 
-def cut(environ: Environ) -> typing.NoReturn:
-    """Close the connection without an answer, or in the midst of one."""
-    shut(environ)
-    raise ConnectionCut
+def abort_connection(environ: Environ) -> typing.NoReturn:
+    """Close the connection before the response is complete."""
+    shut_down_connection(environ)
+    raise ConnectionAborted
 
 
-def shut(environ: Environ) -> None:
-    """Shut both directions of the request's connection."""
+def shut_down_connection(environ: Environ) -> None:
+    """Shut down both directions of the request's connection."""
     try:
-        environ[_SOCKET].shutdown(socket.SHUT_RDWR)
+        environ[_SOCKET_KEY].shutdown(socket.SHUT_RDWR)
     except OSError:
         pass
 
 
 def wait_for_close(environ: Environ) -> bool:
-    """Wait for the caller's next byte or end; True: the caller has gone."""
+    """Wait for data or the end of the connection; return whether it ended."""
     try:
-        return not environ[_SOCKET].recv(1, socket.MSG_PEEK)
+        return not environ[_SOCKET_KEY].recv(1, socket.MSG_PEEK)
     except OSError:
         return True
 
 
 def hang(environ: Environ) -> typing.NoReturn:
-    """Answer nothing until the caller has gone."""
+    """Block until the client disconnects (or sends data); don't respond."""
     wait_for_close(environ)
-    raise ConnectionCut
+    raise ConnectionAborted
--- a/standins/store.py
+++ b/standins/store.py
@@ -1,4 +1,4 @@
-"""The stand-in key-value service's state: revisions, leases, history."""
+"""State of the simulated key-value service: items, leases and history."""
 
 import collections
 import copy
@@ -11,7 +11,7 @@
 
 
 class Item:
-    """One key's value and revisions; lease 0 is none."""
+    """Value and revisions of one key; lease 0 means no lease."""
 
     __slots__ = (
         'key',
@@ -41,7 +41,10 @@
 
 
 class Event:
-    """One change: of a deleted key only `key` and `mod_revision` count."""
+    """A change to one key.
+
+    For a deleted key, only `key` and `mod_revision` of the item are valid.
+    """
 
     __slots__ = ('deleted', 'item')
 
@@ -51,7 +54,10 @@
 
 
 class Watch:
-    """One watcher's prefix and what it has not been sent yet."""
+    """A watched prefix and the events not yet delivered.
+
+    A queued None ends the watch; a silent watch receives no new events.
+    """
 
     __slots__ = ('prefix', 'events', 'silent')
 
@@ -60,92 +66,92 @@
         self.events: queue.Queue[Event | None] = queue.Queue()
         self.silent = False
 
-    def offer(self, event: Event) -> None:
-        """Queue the event when its key begins so."""
+    def enqueue_if_matching(self, event: Event) -> None:
+        """Queue the event if its key has the watched prefix."""
         if event.item.key.startswith(self.prefix):
             self.events.put(event)
 
 
 class Lease:
-    """One lease; its keys go when it ends."""
+    """A lease; its keys are deleted when it expires or is revoked."""
 
-    __slots__ = ('ttl_seconds', 'ends')
+    __slots__ = ('ttl_seconds', 'expires_at')
 
     def __init__(self, ttl_seconds: float) -> None:
         self.ttl_seconds = ttl_seconds
-        self.ends = time.monotonic() + ttl_seconds
+        self.expires_at = time.monotonic() + ttl_seconds
 
     def renew(self) -> None:
-        """Count its time from now."""
-        self.ends = time.monotonic() + self.ttl_seconds
+        """Restart the time to live."""
+        self.expires_at = time.monotonic() + self.ttl_seconds
 
 
 class Store:
-    """Keys and values under one growing revision."""
+    """Keys and values under a revision that increases with every change."""
 
     __slots__ = (
         'revision',
-        'compacted',
+        'compacted_revision',
         'items',
         'leases',
         'watches',
         '_history',
         '_history_bytes',
         '_snapshots',
-        '_next_lease',
+        '_last_lease_id',
     )
 
     def __init__(self) -> None:
         self.revision = 1
-        self.compacted = 0
+        self.compacted_revision = 0
         self.items: dict[bytes, Item] = {}
         self.leases: dict[int, Lease] = {}
         self.watches: set[Watch] = set()
         self._history: collections.deque[Event] = collections.deque()
         self._history_bytes = 0
         self._snapshots: dict[str, tuple[int, dict[bytes, Item]]] = {}
-        self._next_lease = 7587000
+        self._last_lease_id = 7587000
 
     def read_prefix(self, prefix: bytes) -> list[Item]:
-        """Return the items whose keys begin so, in the keys' order."""
+        """Return the items whose keys have the prefix, sorted by key."""
         keys = (key for key in self.items if key.startswith(prefix))
         return [self.items[key] for key in sorted(keys)]
 
     def put(
         self, key: bytes, value: bytes, lease: int, *, revision: int
     ) -> None:
-        """Write one value under a revision that `advance` returned."""
-        old = self.items.get(key)
+        """Write a value at a revision that `advance` has returned."""
+        previous = self.items.get(key)
         item = Item(
             key,
             value,
-            create_revision=old.create_revision if old else revision,
+            create_revision=previous.create_revision if previous else revision,
             mod_revision=revision,
-            version=old.version + 1 if old else 1,
+            version=previous.version + 1 if previous else 1,
             lease=lease,
         )
         self.items[key] = item
         self._publish(Event(item, deleted=False))
 
     def delete(self, key: bytes, *, revision: int) -> None:
-        """Delete one key; nothing if there is none."""
-        old = self.items.pop(key, None)
-        if old is None:
+        """Delete a key; do nothing if the key doesn't exist."""
+        previous = self.items.pop(key, None)
+        if previous is None:
             return
-        tombstone = copy.copy(old)
+        tombstone = copy.copy(previous)
         tombstone.mod_revision = revision
         tombstone.value = b''
         self._publish(Event(tombstone, deleted=True))
 
     def compact(self) -> None:
-        """Drop the history, and cut the watches that wait."""
+        """Drop the history and end all open watches."""
         self._history.clear()
         self._history_bytes = 0
-        self.compacted = self.revision
+        self.compacted_revision = self.revision
         self.close_watches()
 
     def advance(self) -> int:
-        """Return the next revision."""
+        """Advance the revision and return the new value."""
         self.revision += 1
         return self.revision
 
@@ -158,35 +164,35 @@
         ):
             oldest = self._history.popleft()
             self._history_bytes -= len(oldest.item.value)
-            self.compacted = oldest.item.mod_revision
+            self.compacted_revision = oldest.item.mod_revision
         for watch in self.watches:
             if not watch.silent:
-                watch.offer(event)
+                watch.enqueue_if_matching(event)
 
     def open_watch(self, prefix: bytes, start_revision: int) -> Watch:
-        """Start a watch, with the past from `start_revision` on (0: none)."""
+        """Open a watch; replay history from `start_revision` unless 0."""
         watch = Watch(prefix)
         if start_revision:
             for event in self._history:
                 if event.item.mod_revision >= start_revision:
-                    watch.offer(event)
+                    watch.enqueue_if_matching(event)
         self.watches.add(watch)
         return watch
 
     def close_watches(self) -> None:
-        """End every watch, as a service that restarts does."""
+        """End every open watch, as a restart of the service does."""
         for watch in self.watches:
             watch.events.put(None)
 
     def grant(self, ttl_seconds: float) -> int:
-        """Return the id of a new lease."""
-        self._next_lease += 1
-        lease = self._next_lease
+        """Create a lease and return its id."""
+        self._last_lease_id += 1
+        lease = self._last_lease_id
         self.leases[lease] = Lease(ttl_seconds)
         return lease
 
     def revoke(self, lease: int) -> bool:
-        """End a lease and delete its keys; False: there was none."""
+        """Revoke a lease and delete its keys; return whether it existed."""
         if self.leases.pop(lease, None) is None:
             return False
         keys = [key for key, item in self.items.items() if item.lease == lease]
@@ -196,24 +202,29 @@
                 self.delete(key, revision=revision)
         return True
 
-    def end_leases(self) -> None:
-        """Revoke every lease whose time is over."""
+    def revoke_expired_leases(self) -> None:
+        """Revoke every expired lease."""
         now = time.monotonic()
         for lease in [
-            name for name, each in self.leases.items() if each.ends <= now
+            name
+            for name, each in self.leases.items()
+            if each.expires_at <= now
         ]:
             self.revoke(lease)
 
     def take_snapshot(self, name: str) -> None:
-        """Keep the present state under a name."""
+        """Save the current items and revision under a name."""
         self._snapshots[name] = (self.revision, dict(self.items))
 
     def restore(self, name: str) -> None:
-        """Go back to a snapshot, revision and all, and end the watches."""
+        """Restore items and revision from a snapshot.
+
+        Leases and history are dropped, and all open watches end.
+        """
         self.revision, items = self._snapshots[name]
         self.items = dict(items)
         self.leases.clear()
         self._history.clear()
         self._history_bytes = 0
-        self.compacted = self.revision
+        self.compacted_revision = self.revision
         self.close_watches()
