--- a/tests/features/soak.feature
+++ b/tests/features/soak.feature
@@ -1,7 +1,7 @@
-Feature: Promises hold while faults hit real processes
+Feature: Guarantees hold while faults are injected into real processes
 
-  Scenario: A few seconds of faults break no promise
-    # Routers are killed, frozen, stopped and started; the store, the backend
-    # servers and the ways between them fail by turns. Callers go on asking.
-    When the soak plays the seed 7 for 6 seconds
-    Then it found nothing
+  Scenario: A few seconds of faults violate no guarantee
+    # Routers are killed, paused, stopped and started; the store, the backend
+    # servers and their connections fail in turn. Callers keep sending requests.
+    When the soak runs with the seed 7 for 6 seconds
+    Then the soak reports no violation
--- a/tests/features/steps/soak.py
+++ b/tests/features/steps/soak.py
@@ -9,9 +9,9 @@
 _TIMEOUT_SECONDS = 300
 
 
-@behave.when('the soak plays the seed {seed:d} for {seconds:d} seconds')
-def play(context, seed, seconds):
-    # A process of its own: the soak runs threads, and ends processes.
+@behave.when('the soak runs with the seed {seed:d} for {seconds:d} seconds')
+def run_soak(context, seed, seconds):
+    # Runs in a separate process: the soak starts threads and kills processes.
     command = processes.build_python_command(
         'tests.soak.run', f'--seed={seed}', f'--seconds={seconds}'
     )
@@ -24,6 +24,6 @@
     )
 
 
-@behave.then('it found nothing')
-def check(context):
+@behave.then('the soak reports no violation')
+def check_result(context):
     assert context.soak.returncode == 0, context.soak.stdout
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -1,9 +1,10 @@
-"""The state machines of the tests, for longer and by a seed of one's own.
+"""Runs the state machine tests with a given seed and number of steps.
 
     make fuzz SEED=7 FUZZ_STEPS=20000
 
-Each machine gets that many steps, in runs of forty. A fault is printed as the
-shortest list of steps that shows it; the same seed shows it again.
+Each state machine runs that number of steps, in runs of 40 steps. A fault is
+printed as the shortest sequence of steps that reproduces it; the same seed
+finds the same fault again.
 """
 
 import argparse
@@ -31,7 +32,7 @@
 
 
 def run_machine(machine: type, *, seed: int, steps: int) -> bool:
-    """Run one machine; return whether it found no fault."""
+    """Run one state machine; return whether it found no fault."""
     settings = hypothesis.settings(
         max_examples=max(1, steps // _RUN_STEPS),
         stateful_step_count=_RUN_STEPS,
@@ -49,7 +50,7 @@
 
 
 def main() -> int:
-    """Run every machine, or those named."""
+    """Run the state machines given on the command line, or all of them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--steps', type=int, default=2000)
@@ -60,11 +61,9 @@
     for machine in _MACHINES:
         if options.machines and machine.__name__ not in options.machines:
             continue
-        found_none = run_machine(
-            machine, seed=options.seed, steps=options.steps
-        )
-        failed += not found_none
-        verdict = 'no fault' if found_none else 'FAULT'
+        passed = run_machine(machine, seed=options.seed, steps=options.steps)
+        failed += not passed
+        verdict = 'no fault' if passed else 'FAULT'
         print(f'{machine.__name__}: {verdict}', flush=True)
     return 1 if failed else 0
 
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Runs every behave feature, several at a time, and counts the results.
+"""Runs the behave features concurrently and counts the results.
 
-behave's own closing lines differ between versions, so the verdict comes from
-its JSON report: one scenario is one test.
+The summary that behave prints differs between versions, so the results are
+read from its JSON report. Each scenario counts as one test.
 """
 
 import concurrent.futures
@@ -19,7 +19,7 @@
 
 
 class FeatureResult:
-    """What one feature file's run printed and counted."""
+    """Output and scenario results of one feature file."""
 
     __slots__ = ('path', 'passed', 'failed', 'output')
 
@@ -33,14 +33,14 @@
 
 
 def run_feature(path: pathlib.Path) -> FeatureResult:
-    """Run one feature file in a behave process of its own."""
+    """Run one feature file in a separate behave process."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / 'report.json'
         command = [sys.executable, '-m', 'behave', '--no-color']
         command += ['-f', 'json', '-o', str(report), '-f', 'plain']
         command += ['--no-capture', str(path)]
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 command,
                 cwd=_ROOT,
                 stdout=subprocess.PIPE,
@@ -48,7 +48,7 @@
                 text=True,
                 timeout=_FEATURE_TIMEOUT_SECONDS,
             )
-            output, code = done.stdout, done.returncode
+            output, code = completed.stdout, completed.returncode
         except subprocess.TimeoutExpired as expired:
             output, code = str(expired.output), 1
         return _read_report(path, report, output, code)
@@ -71,12 +71,15 @@
             else:
                 failed.append(element.get('name', '?').strip())
     if code and not failed:
-        failed.append(f'{path.name}: behave ended with {code}')
+        failed.append(f'{path.name}: behave exited with code {code}')
     return FeatureResult(path, passed, failed, output)
 
 
 def read_known_red() -> list[str]:
-    """Return the scenario names that KNOWN-RED.txt lists, one a line."""
+    """Return the scenario names in KNOWN-RED.txt.
+
+    Each line holds one entry: the name, and details after a `|`.
+    """
     if not _KNOWN_RED.exists():
         return []
     lines = _KNOWN_RED.read_text().splitlines()
@@ -84,23 +87,27 @@
 
 
 def main() -> int:
-    """Run the features named on the command line, or all of them."""
-    named = [pathlib.Path(name).resolve() for name in sys.argv[1:]]
-    paths = named or sorted(_FEATURES.rglob('*.feature'))
+    """Run the features given on the command line, or all features."""
+    given_paths = [pathlib.Path(name).resolve() for name in sys.argv[1:]]
+    paths = given_paths or sorted(_FEATURES.rglob('*.feature'))
     known_red = read_known_red()
-    passed, failed, red = 0, [], []
+    passed, failed, known_failures = 0, [], []
     with concurrent.futures.ThreadPoolExecutor(_WORKERS) as pool:
         for result in pool.map(run_feature, paths):
             passed += result.passed
-            new = [name for name in result.failed if name not in known_red]
-            red += [name for name in result.failed if name in known_red]
-            failed += new
-            verdict = 'failed' if new else 'ok'
+            unexpected_failures = [
+                name for name in result.failed if name not in known_red
+            ]
+            known_failures += [
+                name for name in result.failed if name in known_red
+            ]
+            failed += unexpected_failures
+            verdict = 'failed' if unexpected_failures else 'ok'
             name = result.path.relative_to(_ROOT)
             print(f'{name}: {result.passed} scenarios, {verdict}')
-            if new:
+            if unexpected_failures:
                 print(result.output)
-    for name in red:
+    for name in known_failures:
         print(f'known red: {name}')
     for name in failed:
         print(f'FAILED: {name}')
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: real programs, faults from outside, promises checked."""
+"""Fault soak: faults are injected into real processes, guarantees checked."""
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -1,7 +1,7 @@
-"""What a soak plays with: routers, their store, servers and the network.
+"""The processes of a soak: routers, store, backend servers and proxies.
 
-Each is a process of its own. Routers reach each other, the store and the
-backend servers through proxies, in which a run injects the network's faults.
+Routers reach each other, the store and the backend servers through proxies
+that simulate network faults.
 """
 
 import contextlib
@@ -21,26 +21,27 @@
 
 _HOST = '127.0.0.1'
 _FAILURE_DOMAINS = ('a', 'b')
-# Of each service.
-_SERVERS = 2
-# Seconds from SIGTERM to the end of a server: longer than `DRAIN_SECONDS`, so
-# that requests sent after that bound still reach it and are found.
+# Backend servers per service.
+_SERVERS_PER_SERVICE = 2
+# Time from SIGTERM until a server stops. Exceeds `DRAIN_SECONDS`, so that
+# requests that routers wrongly send after that bound still reach the server
+# and are detected.
 _LEAVE_SECONDS = 2.5
 DRAIN_SECONDS = 2.0
-# Seconds after which a crashed server is restarted.
+# Delay before a crashed server is restarted.
 _RESTART_DELAY_SECONDS = 0.5
 _POLL_SECONDS = 0.02
-# Seconds to stop: three times `shutdown.finish_seconds`.
-_STOP_SECONDS = 15.0
+# Time limit for the stop of a router: three times `shutdown.finish_seconds`.
+_STOP_TIMEOUT_SECONDS = 15.0
 REVOKE_SECONDS = 2.5
 APPLY_SECONDS = 2.0
 RETRY_RATIO = 0.2
 RETRY_SLACK = 10
 RETRY_WINDOW_SECONDS = 10.0
-# The key of an account that the operator revokes in the run.
+# Key of the account that the operator revokes during the run.
 REVOKED_KEY = 'key-c'
-# A route that the operator adds in the run.
-ADDED = 'added'
+# Route that the operator adds during the run.
+ADDED_ROUTE = 'added'
 _ACCOUNTS = operated.KEYS | {'account-c': REVOKED_KEY}
 _SETTINGS = {
     'bounds': {
@@ -64,7 +65,7 @@
 
 
 class Router:
-    """One instance and its addresses."""
+    """A router process and its addresses."""
 
     def __init__(self, name, failure_domain, ports):
         self.name = name
@@ -73,32 +74,33 @@
             f'{_HOST}:{port}' for port in ports
         )
         self.process = None
-        # Counts starts: what one process said binds only that process.
-        self.starts = 0
+        # Identifies the process of the router: guarantees that depend on the
+        # state of a process are checked for each start separately.
+        self.start_count = 0
 
     def start(self):
-        self.starts += 1
+        self.start_count += 1
         self.process.start()
 
     def has_started(self):
-        """Return whether it got as far as to serve, since its last start."""
+        """Return whether `router_started` was logged since the last start."""
         return 'event=router_started' in self.process.read_output()
 
 
 class Server:
-    """One backend server, which may come back under its name."""
+    """A backend server, which may be restarted under the same name."""
 
     def __init__(self, name, service):
         self.name = name
         self.service = service
         self.process = None
         self.standin = None
-        # Time of the restart after a crash; None: none is due.
+        # Time of the restart after a crash; None if no restart is due.
         self.restart_at = None
 
 
 class Deployment:
-    """Starts everything, and ends all of it when left."""
+    """Context manager that starts and stops all processes of a soak."""
 
     def __init__(self, folder, *, routers, seed):
         self.folder = pathlib.Path(folder)
@@ -106,29 +108,31 @@
         self.servers = {}
         self.store = None
         self.network = None
-        # Processes that a fault holds at present.
-        self.faulty = set()
+        # Names of the processes that have an active fault.
+        self.faulted = set()
         # (Name, start, end) of each ended fault that delayed the traffic of a
-        # router or server.
+        # router or backend server.
         self.impairments = []
-        self.findings = []
-        # Crashes under each request before the check that follows the faults.
+        self.violations = []
+        # Server crashes caused by each crashing request, by request body,
+        # before these requests are sent again after the faults.
         self.crashes_before = {}
-        # When the store had acknowledged the change; None: not yet.
+        # Times at which the store had acknowledged the configuration change;
+        # None until then.
         self.revoked = None
         self.added = None
         self._version = 0
-        self._count = routers
+        self._router_count = routers
         self._seed = seed
-        self._ways = None
+        self._proxy = None
         self._stack = contextlib.ExitStack()
 
     def __enter__(self):
         try:
             self.store = self._start('store', 'keyvalue')
             self._configure()
-            self._ways = self._start('ways', 'proxy')
-            for index in range(_SERVERS):
+            self._proxy = self._start('network-proxy', 'proxy')
+            for index in range(_SERVERS_PER_SERVICE):
                 for service in ('llm', 'plain'):
                     name = f'{service}-{index + 1}'
                     self.servers[name] = Server(name, service)
@@ -148,11 +152,12 @@
         )
 
     def start_server(self, name):
-        """Start a server (again), under the same name."""
+        """Start or restart a server under its name."""
         server = self.servers[name]
         server.standin = self._start(
-            # Each start's output is kept: it says what ran.
-            f'{name}.{self._count_starts(name)}',
+            # Each start has its own log file: the check reads from it which
+            # requests were executed.
+            f'{name}.{self._count_server_starts(name)}',
             'listed',
             f'--name={name}',
             f'--service={server.service}',
@@ -161,7 +166,7 @@
             f'--leave-seconds={_LEAVE_SECONDS}',
         )
         server.process = server.standin.process
-        port = self._ways.order(
+        port = self._proxy.order(
             '/standin/listen', name=name, target=server.standin.address
         )['port']
         server.standin.order('/standin/list', address=f'{_HOST}:{port}')
@@ -170,7 +175,7 @@
         """Restart crashed servers whose restart delay has passed."""
         now = time.monotonic()
         for name, server in self.servers.items():
-            if name in self.faulty or server.process.is_running():
+            if name in self.faulted or server.process.is_running():
                 continue
             if server.restart_at is None:
                 server.restart_at = now + _RESTART_DELAY_SECONDS
@@ -179,34 +184,34 @@
                 self.start_server(name)
 
     def wait_for_servers(self):
-        """Restart crashed servers and wait until every server runs."""
+        """Restart crashed servers and wait until every server is running."""
         while not all(
             each.process.is_running() for each in self.servers.values()
         ):
             self.restart_crashed_servers()
             time.sleep(_POLL_SECONDS)
 
-    def _count_starts(self, name):
+    def _count_server_starts(self, name):
         return len(list(self.folder.glob(f'{name}.*.log')))
 
     def _start_routers(self):
-        reserved = processes.Ports(4 * self._count)
-        self._stack.callback(reserved.close)
-        for index in range(self._count):
+        reserved_ports = processes.Ports(4 * self._router_count)
+        self._stack.callback(reserved_ports.close)
+        for index in range(self._router_count):
             name = f'router-{index + 1}'
             self.routers[name] = Router(
                 name,
                 _FAILURE_DOMAINS[index % len(_FAILURE_DOMAINS)],
-                reserved.numbers[4 * index : 4 * index + 4],
+                reserved_ports.numbers[4 * index : 4 * index + 4],
             )
         peers = {each.name: each.peers for each in self.routers.values()}
         self.network = network.Network(peers, self.folder)
         self._stack.callback(self.network.close)
         self.network.start()
         for router in self.routers.values():
-            self._ways.order(
+            self._proxy.order(
                 '/standin/listen',
-                name=name_store_way(router.name),
+                name=name_store_listener(router.name),
                 target=self.store.address,
             )
             self.write_settings(router)
@@ -221,9 +226,9 @@
             router.start()
 
     def write_settings(self, router, **sections):
-        """Write a router's settings, in one step as an editor does."""
-        stats = self._ways.read_stats()
-        port = stats[name_store_way(router.name)]['port']
+        """Replace a router's settings file atomically, as editors do."""
+        stats = self._proxy.read_stats()
+        port = stats[name_store_listener(router.name)]['port']
         values = _SETTINGS | {
             'instance': {
                 'name': router.name,
@@ -247,12 +252,12 @@
             | {'via': self.network.list_ways(router.name)},
         }
         path = self.folder / f'{router.name}.toml'
-        draft = path.with_suffix('.new')
-        draft.write_text(tomli_w.dumps(values | sections))
-        os.replace(draft, path)
+        new_path = path.with_suffix('.new')
+        new_path.write_text(tomli_w.dumps(values | sections))
+        os.replace(new_path, path)
 
-    def change(self, *, revoked=False, added=False):
-        """Revoke the key or add the route, unless it was done before."""
+    def change_configuration(self, *, revoked=False, added=False):
+        """Revoke the key or add the route, unless already done."""
         if revoked and self.revoked is None:
             self._configure(revoked=True, added=self.added is not None)
             self.revoked = time.monotonic()
@@ -265,7 +270,7 @@
         values = operated.build_configuration(self._version)
         if added:
             values['routes'].append(
-                operated.build_route(ADDED, 'idempotent', 'plain')
+                operated.build_route(ADDED_ROUTE, 'idempotent', 'plain')
             )
         values['tenants'] = [
             {'name': name, 'api_keys': [key], 'priority': 1}
@@ -275,38 +280,39 @@
         text = json.dumps(values)
         self.store.order('/standin/put', key='op/config', text=text)
 
-    def finish(self, router):
-        """Wait for the end of a router that was asked to stop."""
-        # Another fault may have frozen it meanwhile.
+    def wait_for_stop(self, router):
+        """Wait until a router that received SIGTERM has exited."""
+        # Another fault may have paused the process meanwhile.
         router.process.resume()
         try:
-            code = router.process.wait(_STOP_SECONDS)
+            code = router.process.wait(_STOP_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
-            self.findings.append(f'{router.name} did not stop when asked to')
+            self.violations.append(f'{router.name} did not exit after SIGTERM')
             router.process.kill()
             return
         if code == -signal.SIGTERM and not router.has_started():
-            # Asked while Python still loaded it: nothing to finish.
+            # SIGTERM arrived before the program had installed its handler:
+            # there were no requests to finish.
             return
         if code not in (0, -signal.SIGKILL):
-            self.findings.append(f'{router.name} ended with {code}')
+            self.violations.append(f'{router.name} exited with code {code}')
 
-    def set_way(self, name, **faults):
-        """Set the faults of the way to the store or to a server."""
-        self._ways.order('/standin/faults', listener=name, **faults)
+    def set_proxy_faults(self, name, **faults):
+        """Set the faults of a proxy listener to the store or to a server."""
+        self._proxy.order('/standin/faults', listener=name, **faults)
 
-    def heal(self):
-        """End every fault of the network."""
-        for name in self._ways.read_stats():
-            self.set_way(name, heal=True, cut=True)
-        self.heal_peers()
+    def clear_network_faults(self):
+        """Clear every network fault and reset the proxied connections."""
+        for name in self._proxy.read_stats():
+            self.set_proxy_faults(name, heal=True, cut=True)
+        self.clear_peer_faults()
 
-    def heal_peers(self):
-        """End every fault between routers."""
+    def clear_peer_faults(self):
+        """Clear every network fault between routers."""
         self.network.delay(0.0)
         self.network.heal()
 
 
-def name_store_way(router):
-    """Return the name of a router's way to the store."""
+def name_store_listener(router):
+    """Return the name of a router's proxy listener to the store."""
     return f'{router}>store'
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,7 +1,8 @@
-"""Faults of a soak, drawn by its seed: what, when, where, for how long.
+"""Faults of a soak; the seed determines kind, time, target and duration.
 
-Each is a function of the deployment and a generator of random numbers that
-begins the fault and returns what ends it. They come in series and overlap.
+Each fault is a function that takes the deployment and a random number
+generator, begins the fault, and returns a function that ends the fault, or
+None if there is nothing to end. Faults overlap.
 """
 
 import contextlib
@@ -11,17 +12,17 @@
 
 from tests.soak import deployment as deployment_module
 
-# Seconds: the longest fault; above every timeout of the routers' settings.
-_LONGEST_SECONDS = 3.0
-_SHORTEST_SECONDS = 0.2
-# Seconds between the beginnings of two faults, at most.
-_PAUSE_SECONDS = 0.6
-# For a server to leave, on a busy machine.
-_STOP_SECONDS = 30.0
-_TICK_SECONDS = 0.02
-# The name under which the store's process is held by one fault.
+# Longer than every timeout by which the routers' settings detect a fault.
+_MAX_FAULT_SECONDS = 3.0
+_MIN_FAULT_SECONDS = 0.2
+# Longest time between the beginnings of two faults.
+_MAX_PAUSE_SECONDS = 0.6
+# Time limit for a server to stop; generous for a busy machine.
+_LEAVE_TIMEOUT_SECONDS = 30.0
+_POLL_SECONDS = 0.02
+# Name of the store in `Deployment.faulted`.
 _STORE = 'store'
-_NUMBERS = itertools.count()
+_SEQUENCE_NUMBERS = itertools.count()
 
 
 def _pick_router(deployment, rng):
@@ -29,28 +30,28 @@
 
 
 def _pick_server(deployment, rng):
-    """Return a server whose process has no fault, or None."""
-    idle = sorted(set(deployment.servers) - deployment.faulty)
-    return deployment.servers[rng.choice(idle)] if idle else None
+    """Return a random server without an active process fault, or None."""
+    available = sorted(set(deployment.servers) - deployment.faulted)
+    return deployment.servers[rng.choice(available)] if available else None
 
 
-def _hold(deployment, name, end):
-    """Keep other faults from a process until this one has ended."""
-    deployment.faulty.add(name)
+def _reserve_process(deployment, name, end_fault):
+    """Exclude a process from other faults until this fault has ended."""
+    deployment.faulted.add(name)
 
     def release():
-        end()
-        deployment.faulty.discard(name)
+        end_fault()
+        deployment.faulted.discard(name)
 
     return release
 
 
-def _record_impairment(deployment, name, end):
-    """Record from when to when a router's or server's traffic is impaired."""
+def _record_impairment(deployment, name, end_fault):
+    """Record the interval in which a router's or server's traffic suffers."""
     since = time.monotonic()
 
     def end_and_record():
-        end()
+        end_fault()
         deployment.impairments.append((name, since, time.monotonic()))
 
     return end_and_record
@@ -62,14 +63,14 @@
 
 
 def kill_router(deployment, rng):
-    """Crash one; it starts again without memory."""
+    """Kill a router; restart it without its in-memory state."""
     router = _pick_router(deployment, rng)
     router.process.kill()
     return lambda: _restart(router)
 
 
 def kill_all_routers(deployment, rng):
-    """Crash all at once, as a loss of power does."""
+    """Kill all routers at once, as a power failure does."""
     for router in deployment.routers.values():
         router.process.kill()
 
@@ -81,72 +82,74 @@
 
 
 def pause_router(deployment, rng):
-    """Freeze one: its peers give it up, and its clocks jump."""
+    """Pause a router: its peers declare it dead, and its clocks jump."""
     router = _pick_router(deployment, rng)
     router.process.pause()
     return _record_impairment(deployment, router.name, router.process.resume)
 
 
 def stop_router(deployment, rng):
-    """Ask one to stop, mostly in the midst of requests; start it again."""
+    """Stop a router with SIGTERM, mostly during requests; restart it."""
     router = _pick_router(deployment, rng)
-    starts = router.starts
+    start_count = router.start_count
     router.process.terminate()
 
     def start_again():
-        if router.starts == starts:
-            deployment.finish(router)
+        if router.start_count == start_count:
+            deployment.wait_for_stop(router)
             router.start()
 
     return start_again
 
 
 def change_settings(deployment, rng):
-    """Change a settings file, with and without a signal for it."""
+    """Change a router's settings file, with or without sending SIGHUP."""
     router = _pick_router(deployment, rng)
     limits = {'header_bytes': rng.choice([16384, 32768])}
     deployment.write_settings(router, limits=limits)
     if rng.random() < 0.5:
         router.process.hang_up()
-    # In the first hundredth of a second of its life, before a line of the
-    # program has run, a hang-up ends it, and its machine starts it again.
+    # Within about 10 ms of its start, before the program has installed its
+    # handler, SIGHUP kills the process. A supervisor would restart it.
     return lambda: _restart(router)
 
 
 def fail_store(deployment, rng):
-    """Let the store fail everyone in one of its ways."""
-    if _STORE in deployment.faulty:
+    """Let the store fail all calls in a random mode."""
+    if _STORE in deployment.faulted:
         return None
     mode = rng.choice(
         ['down', 'refuse', 'throttle', 'slow', 'lose_answers', 'lose_some']
     )
     deployment.store.fail(mode, seconds=rng.uniform(0.1, 1.0))
-    return _hold(deployment, _STORE, lambda: deployment.store.fail('up'))
+    return _reserve_process(
+        deployment, _STORE, lambda: deployment.store.fail('up')
+    )
 
 
 def silence_watches(deployment, rng):
-    """Let watches that wait now say nothing ever again."""
-    if _STORE not in deployment.faulty:
+    """Stop the delivery of events to all open watches."""
+    if _STORE not in deployment.faulted:
         deployment.store.order('/standin/faults', silent_watches=True)
 
 
 def compact_store(deployment, rng):
-    """Drop the store's history: watches begin anew."""
-    if _STORE not in deployment.faulty:
+    """Drop the store's history, which ends all open watches."""
+    if _STORE not in deployment.faulted:
         deployment.store.order('/standin/compact')
 
 
 def pause_store(deployment, rng):
-    """Freeze the store's process."""
-    if _STORE in deployment.faulty:
+    """Pause the process of the store."""
+    if _STORE in deployment.faulted:
         return None
     process = deployment.store.process
     process.pause()
-    return _hold(deployment, _STORE, process.resume)
+    return _reserve_process(deployment, _STORE, process.resume)
 
 
 def _impair(deployment, rng, name):
-    """Impair one way of the network; return what ends it."""
+    """Impair one proxy listener; return a function that ends the fault."""
     direction = rng.choice(['up', 'down', 'both'])
     faults = rng.choice(
         [
@@ -160,136 +163,141 @@
             {'cut': True},
         ]
     )
-    deployment.set_way(name, direction=direction, **faults)
-    return lambda: deployment.set_way(name, heal=True, cut=True)
+    deployment.set_proxy_faults(name, direction=direction, **faults)
+    return lambda: deployment.set_proxy_faults(name, heal=True, cut=True)
 
 
-def impair_store_way(deployment, rng):
-    """Impair one router's way to the store; the others reach it."""
+def impair_store_connection(deployment, rng):
+    """Impair the connection of a single router to the store."""
     router = _pick_router(deployment, rng)
     return _impair(
-        deployment, rng, deployment_module.name_store_way(router.name)
+        deployment, rng, deployment_module.name_store_listener(router.name)
     )
 
 
-def impair_server_way(deployment, rng):
-    """Impair the way to one backend server."""
+def impair_server_connection(deployment, rng):
+    """Impair the connections of all routers to one backend server."""
     name = rng.choice(sorted(deployment.servers))
-    end = _impair(deployment, rng, name)
-    return _record_impairment(deployment, name, end)
+    end_fault = _impair(deployment, rng, name)
+    return _record_impairment(deployment, name, end_fault)
 
 
-def lose_peer_way(deployment, rng):
-    """Lose or delay what one router sends another, but not the reverse."""
+def impair_peer_connection(deployment, rng):
+    """Drop a router's messages to another one, or delay all its messages."""
     sender, receiver = rng.sample(sorted(deployment.routers), 2)
     if rng.random() < 0.5:
         deployment.network.lose(sender, receiver)
     else:
         deployment.network.slow(sender, rng.uniform(0.01, 0.5))
-    return deployment.heal_peers
+    return deployment.clear_peer_faults
 
 
 def partition_peers(deployment, rng):
-    """Cut one router off from all others."""
+    """Partition one router from all others."""
     deployment.network.partition([_pick_router(deployment, rng).name])
-    return deployment.heal_peers
+    return deployment.clear_peer_faults
 
 
 def kill_server(deployment, rng):
-    """Crash a backend server; it is back under its name, and knows nothing."""
+    """Kill a backend server; restart it under its name, without state."""
     server = _pick_server(deployment, rng)
     if server is None:
         return None
     server.process.kill()
-    return _hold(
+    return _reserve_process(
         deployment, server.name, lambda: deployment.start_server(server.name)
     )
 
 
 def pause_server(deployment, rng):
-    """Freeze a backend server."""
+    """Pause a backend server."""
     server = _pick_server(deployment, rng)
     if server is None:
         return None
     server.process.pause()
     resume = _record_impairment(deployment, server.name, server.process.resume)
-    return _hold(deployment, server.name, resume)
+    return _reserve_process(deployment, server.name, resume)
 
 
 def leave_server(deployment, rng):
-    """Let a backend server leave, and come back."""
+    """Stop a backend server gracefully, then restart it."""
     server = _pick_server(deployment, rng)
     if server is None:
         return None
     server.process.terminate()
 
     def start_again():
-        server.process.wait(_STOP_SECONDS)
+        server.process.wait(_LEAVE_TIMEOUT_SECONDS)
         deployment.start_server(server.name)
 
-    return _hold(deployment, server.name, start_again)
+    return _reserve_process(deployment, server.name, start_again)
 
 
 def leave_server_unlisted(deployment, rng):
-    """Let a backend server report in answers that it leaves, then leave."""
+    """Announce in a server's responses that it leaves; stop it afterwards.
+
+    Its entry in the store doesn't announce this before the server is stopped.
+    """
     server = _pick_server(deployment, rng)
     if server is None:
         return None
-    # A crashed server accepts no orders, and restarts without reporting it.
+    # A crashed server accepts no control requests; after its restart it does
+    # not report that it is leaving.
     with contextlib.suppress(OSError):
         server.standin.order('/standin/leaving')
 
     def leave():
         server.process.terminate()
-        server.process.wait(_STOP_SECONDS)
+        server.process.wait(_LEAVE_TIMEOUT_SECONDS)
         deployment.start_server(server.name)
 
-    return _hold(deployment, server.name, leave)
+    return _reserve_process(deployment, server.name, leave)
 
 
 def fail_server(deployment, rng):
-    """Let a backend server fail some or all requests in one way."""
+    """Let a backend server fail some or all requests in a random mode."""
     server = _pick_server(deployment, rng)
     if server is None:
         return None
     mode = rng.choice(['errors', 'hang', 'cut', 'foreign', 'refuse', 'slow'])
-    _order_faults(server, mode, rng.choice([0.1, 0.5, 1.0]))
-    return _hold(
-        deployment, server.name, lambda: _order_faults(server, 'ok', 0.0)
+    _set_server_faults(server, mode, rng.choice([0.1, 0.5, 1.0]))
+    return _reserve_process(
+        deployment, server.name, lambda: _set_server_faults(server, 'ok', 0.0)
     )
 
 
 def back_off_server(deployment, rng):
-    """Let a backend server refuse some or all requests with Retry-After."""
+    """Let a backend server reject some or all requests with Retry-After."""
     server = _pick_server(deployment, rng)
     if server is None:
         return None
-    _order_faults(server, 'back_off', rng.choice([0.1, 0.5, 1.0]))
-    return _hold(
-        deployment, server.name, lambda: _order_faults(server, 'ok', 0.0)
+    _set_server_faults(server, 'back_off', rng.choice([0.1, 0.5, 1.0]))
+    return _reserve_process(
+        deployment, server.name, lambda: _set_server_faults(server, 'ok', 0.0)
     )
 
 
-def _order_faults(server, mode, fraction):
-    # A crashed server accepts no orders, and restarts without faults.
+def _set_server_faults(server, mode, fraction):
+    # A crashed server accepts no control requests, and restarts without
+    # faults.
     with contextlib.suppress(OSError):
         server.standin.fail(mode, fraction=fraction)
 
 
 def revoke_key(deployment, rng):
-    """Take the key away, once."""
-    if _STORE not in deployment.faulty:
-        deployment.change(revoked=True)
+    """Revoke the key, unless already done."""
+    if _STORE not in deployment.faulted:
+        deployment.change_configuration(revoked=True)
 
 
 def add_route(deployment, rng):
-    """Add the route, once."""
-    if _STORE not in deployment.faulty:
-        deployment.change(added=True)
+    """Add the route, unless already done."""
+    if _STORE not in deployment.faulted:
+        deployment.change_configuration(added=True)
 
 
-# How often each is drawn. Losing all routers ends all that is under way, and
-# would hide what else went wrong, were it as frequent as the others.
+# Relative frequency of each fault. Killing all routers ends every request in
+# progress. At the frequency of the other faults it would hide their effects.
 FAULTS = {
     kill_router: 2,
     kill_all_routers: 1,
@@ -300,9 +308,9 @@
     silence_watches: 2,
     compact_store: 1,
     pause_store: 2,
-    impair_store_way: 4,
-    impair_server_way: 6,
-    lose_peer_way: 3,
+    impair_store_connection: 4,
+    impair_server_connection: 6,
+    impair_peer_connection: 3,
     partition_peers: 3,
     kill_server: 4,
     pause_server: 3,
@@ -315,27 +323,32 @@
 }
 
 
-def play(deployment, rng, *, seconds, tell):
-    """Play faults for some seconds; all have ended when it returns."""
-    over = time.monotonic() + seconds
-    begin = time.monotonic()
-    ends = []
-    while time.monotonic() < over or ends:
+def inject_faults(deployment, rng, *, seconds, log):
+    """Inject faults for some seconds; return when all have ended."""
+    deadline = time.monotonic() + seconds
+    next_begin = time.monotonic()
+    scheduled_ends = []
+    while time.monotonic() < deadline or scheduled_ends:
         deployment.restart_crashed_servers()
         now = time.monotonic()
-        if ends and ends[0][0] <= now:
-            _, _, name, end = heapq.heappop(ends)
-            tell(f'end {name}')
-            end()
-        elif begin <= now < over:
-            begin = now + rng.uniform(0.0, _PAUSE_SECONDS)
+        if scheduled_ends and scheduled_ends[0][0] <= now:
+            _, _, name, end_fault = heapq.heappop(scheduled_ends)
+            log(f'end {name}')
+            end_fault()
+        elif next_begin <= now < deadline:
+            next_begin = now + rng.uniform(0.0, _MAX_PAUSE_SECONDS)
             fault = rng.choices(list(FAULTS), list(FAULTS.values()))[0]
-            tell(f'begin {fault.__name__}')
-            end = fault(deployment, rng)
-            if end is not None:
-                due = now + rng.uniform(_SHORTEST_SECONDS, _LONGEST_SECONDS)
-                # The number keeps functions from being compared.
-                entry = (due, next(_NUMBERS), fault.__name__, end)
-                heapq.heappush(ends, entry)
+            log(f'begin {fault.__name__}')
+            end_fault = fault(deployment, rng)
+            if end_fault is not None:
+                due = now + rng.uniform(_MIN_FAULT_SECONDS, _MAX_FAULT_SECONDS)
+                # The unique number prevents the heap from comparing functions.
+                entry = (
+                    due,
+                    next(_SEQUENCE_NUMBERS),
+                    fault.__name__,
+                    end_fault,
+                )
+                heapq.heappush(scheduled_ends, entry)
         else:
-            time.sleep(_TICK_SECONDS)
+            time.sleep(_POLL_SECONDS)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,9 +1,10 @@
 """Runs the soak: python -m tests.soak.run --seed 1 --seconds 20
 
-Plays faults against real processes, then ends them, waits until all is served
-again, stops the routers beside open connections, and checks the promises. The
-seed decides on faults and requests; their times depend on the machine. With
-findings, the folder with all logs is kept and the exit code is 1.
+Injects faults into real processes, clears the faults, waits until all requests
+are served again, stops the routers while connections are open, and checks the
+routers' guarantees. The seed determines faults and requests; their timing
+depends on the machine. If a guarantee was violated, the folder with all logs
+is kept and the exit code is 1.
 """
 
 import argparse
@@ -20,15 +21,15 @@
 from tests.soak import faults
 from tests.soak import promises
 
-# Seconds for everything to be served again after the last fault; nobody
-# waits that long unless it never is.
-_RECOVERY_SECONDS = 60.0
+# Time limit for all requests to be served again after the last fault. The run
+# continues as soon as they are, so that a long limit delays failures only.
+_RECOVERY_TIMEOUT_SECONDS = 60.0
 _POLL_SECONDS = 0.2
-# Seconds without faults after which instances have reconnected.
-_RECONNECT_SECONDS = 3.0
-_CRASHING_ROUNDS = 3
+# Time without faults after which routers have restored their connections.
+_RECONNECT_DELAY_SECONDS = 3.0
+_CRASHING_REQUEST_ROUNDS = 3
 _REGRESSIONS = pathlib.Path(__file__).parent / 'regressions.toml'
-_WORKING = (
+_EXPECTED_REQUESTS = (
     ('read', 'key-a'),
     ('write', 'key-b'),
     ('chat', 'key-a'),
@@ -36,20 +37,20 @@
 )
 
 
-class Story:
-    """What was done when; kept beside the logs."""
+class EventLog:
+    """Timestamped file of the run's events, kept with the process logs."""
 
     def __init__(self, path):
         self._path = path
         self._start = time.monotonic()
 
-    def tell(self, text):
+    def log(self, text):
         seconds = time.monotonic() - self._start
         with self._path.open('a') as file:
             file.write(f'{seconds:8.3f} {time.time():.3f} {text}\n')
 
 
-def _ask(router, route, key, name):
+def _send_once(router, route, key, name):
     attempt = callers_module.Attempt(name, route, key, router)
     connection = callers_module.send(attempt, router)
     if connection is not None:
@@ -58,38 +59,38 @@
 
 
 def wait_until_served(deployment, attempts, *, phase):
-    """Return what is still not served after the last fault, if anything."""
-    left = [
+    """Wait until every router serves requests; return those not served."""
+    unserved = [
         (router, route, key)
         for router in deployment.routers.values()
-        for route, key in _WORKING
+        for route, key in _EXPECTED_REQUESTS
     ]
-    until = time.monotonic() + _RECOVERY_SECONDS
+    deadline = time.monotonic() + _RECOVERY_TIMEOUT_SECONDS
     count = 0
-    while left and time.monotonic() < until:
+    while unserved and time.monotonic() < deadline:
         deployment.restart_crashed_servers()
-        still = []
-        for router, route, key in left:
+        still_unserved = []
+        for router, route, key in unserved:
             count += 1
-            attempt = _ask(router, route, key, f'{phase}-{count}')
+            attempt = _send_once(router, route, key, f'{phase}-{count}')
             attempts.append(attempt)
             if attempt.status != 200 or not attempt.answer.complete:
-                still.append((router, route, key))
-        left = still
-        time.sleep(_POLL_SECONDS if left else 0.0)
+                still_unserved.append((router, route, key))
+        unserved = still_unserved
+        time.sleep(_POLL_SECONDS if unserved else 0.0)
     return [
-        f'{router.name} does not serve {route} after the last fault'
-        for router, route, _ in left
+        f'{router.name} did not serve {route} within the time limit'
+        for router, route, _ in unserved
     ]
 
 
 def send_crashing_requests(deployment, attempts):
-    """Send each request that crashes servers again to every router."""
-    time.sleep(_RECONNECT_SECONDS)
+    """Send each crashing request to every router again."""
+    time.sleep(_RECONNECT_DELAY_SECONDS)
     runs = promises.read_runs(deployment.folder)
     for route, key, body in callers_module.CRASHING_REQUESTS:
         deployment.crashes_before[body] = promises.count_crashes(runs, body)
-        for number in range(_CRASHING_ROUNDS):
+        for number in range(_CRASHING_REQUEST_ROUNDS):
             for router in deployment.routers.values():
                 attempt = callers_module.Attempt(
                     f'{body.decode()}-{router.name}-{number}',
@@ -105,55 +106,61 @@
                 deployment.wait_for_servers()
 
 
-def soak(folder, *, seed, seconds, routers, callers):
-    """Play one seed; return its findings and how attempts ended."""
-    story = Story(folder / 'story.txt')
+def run_soak(folder, *, seed, seconds, routers, callers):
+    """Run one seed; return the violations and the statuses of attempts."""
+    event_log = EventLog(folder / 'events.txt')
     rng = random.Random(seed)
     with deployment_module.Deployment(
         folder, routers=routers, seed=seed
     ) as deployment:
         attempts = []
-        found = wait_until_served(deployment, attempts, phase='before')
+        violations = wait_until_served(deployment, attempts, phase='before')
         load = callers_module.Callers(
             list(deployment.routers.values()), seed=seed, callers=callers
         )
         load.start()
-        faults.play(deployment, rng, seconds=seconds, tell=story.tell)
-        deployment.heal()
-        story.tell('all faults have ended')
-        found += wait_until_served(deployment, attempts, phase='after')
-        story.tell('all is served again')
+        faults.inject_faults(
+            deployment, rng, seconds=seconds, log=event_log.log
+        )
+        deployment.clear_network_faults()
+        event_log.log('all faults cleared')
+        violations += wait_until_served(deployment, attempts, phase='after')
+        event_log.log('all requests served again')
         send_crashing_requests(deployment, attempts)
-        story.tell('requests that crash servers were sent again')
+        event_log.log('crashing requests sent again')
         for router in deployment.routers.values():
             router.process.terminate()
         for router in deployment.routers.values():
-            deployment.finish(router)
+            deployment.wait_for_stop(router)
         load.stop()
         attempts += load.attempts
-        attempts.sort(key=lambda each: each.sent)
+        attempts.sort(key=lambda each: each.sent_at)
         runs = promises.read_runs(folder)
-        found += deployment.findings
-        found += promises.check(deployment, attempts, runs)
-    return found, promises.summarize(attempts)
+        violations += deployment.violations
+        violations += promises.check(deployment, attempts, runs)
+    return violations, promises.summarize(attempts)
 
 
 def read_regressions():
-    """Return the seeds that failed once."""
+    """Return the seeds of earlier failures."""
     values = tomllib.loads(_REGRESSIONS.read_text())
     return [each['seed'] for each in values['regression']]
 
 
 def main():
-    """Play the seeds of the command line, one after the other."""
+    """Run the seeds given on the command line, one after the other."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument('--seed', type=int, default=1)
-    parser.add_argument('--seeds', type=int, default=1, help='how many')
+    parser.add_argument('--seeds', type=int, default=1, help='number of seeds')
     parser.add_argument('--seconds', type=float, default=20.0)
     parser.add_argument('--routers', type=int, default=3)
-    parser.add_argument('--callers', type=int, default=4, help='a router')
     parser.add_argument(
-        '--regressions', action='store_true', help='seeds that failed once'
+        '--callers', type=int, default=4, help='callers per router'
+    )
+    parser.add_argument(
+        '--regressions',
+        action='store_true',
+        help='run the seeds of earlier failures',
     )
     options = parser.parse_args()
     seeds = range(options.seed, options.seed + options.seeds)
@@ -162,17 +169,20 @@
     failed = 0
     for seed in seeds:
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f'soak-{seed}-'))
-        found, ends = soak(
+        violations, statuses = run_soak(
             folder,
             seed=seed,
             seconds=options.seconds,
             routers=options.routers,
             callers=options.callers,
         )
-        print(f'seed {seed}: {len(found)} findings, ends {ends}', flush=True)
-        for line in found:
+        print(
+            f'seed {seed}: {len(violations)} violations, statuses {statuses}',
+            flush=True,
+        )
+        for line in violations:
             print(f'  {line}')
-        if found:
+        if violations:
             failed += 1
             print(f'  logs: {folder}', flush=True)
         else:
--- a/tests/support/promises.py
+++ b/tests/support/promises.py
@@ -1,4 +1,4 @@
-"""Callers and watchers around a fleet of real processes."""
+"""Callers and version polling for a fleet of real processes."""
 
 import http.client
 import json
@@ -13,13 +13,13 @@
 from bench import plans
 
 SERVICE = 'chat'
-# For a busy machine; nothing here asserts how fast the fleet is.
+# Generous for a busy machine; no scenario here checks the speed of the fleet.
 _TIMEOUT_SECONDS = 60.0
-_PAUSE_SECONDS = 0.05
+_POLL_SECONDS = 0.05
 
 
-class Answer:
-    """What a caller of a booking got."""
+class BookingAnswer:
+    """The answer to a booking."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -41,7 +41,7 @@
 
 
 def book(address, booking, *, key):
-    """Send a booking; return its answer or the error that ended it."""
+    """Send a booking; return its answer or the connection error."""
     connection = http.client.HTTPConnection(address, timeout=_TIMEOUT_SECONDS)
     headers = {
         'Authorization': f'Bearer {deployments.read_key("account-1")}',
@@ -54,7 +54,9 @@
             'POST', '/services/bookings/bookings', body, headers
         )
         response = connection.getresponse()
-        return Answer(response.status, response.headers, response.read())
+        return BookingAnswer(
+            response.status, response.headers, response.read()
+        )
     except (OSError, http.client.HTTPException) as error:
         return error
     finally:
@@ -62,15 +64,15 @@
 
 
 def wait_until(condition, describe=lambda: ''):
-    """Wait for a condition; fail with what `describe` returns."""
-    end = time.monotonic() + _TIMEOUT_SECONDS
+    """Wait for a condition; after a timeout, fail with `describe()`."""
+    deadline = time.monotonic() + _TIMEOUT_SECONDS
     while not condition():
-        assert time.monotonic() < end, describe()
-        time.sleep(_PAUSE_SECONDS)
+        assert time.monotonic() < deadline, describe()
+        time.sleep(_POLL_SECONDS)
 
 
-class Background:
-    """A call in a thread of its own, with its result."""
+class BackgroundCall:
+    """A function call in a separate thread."""
 
     def __init__(self, function, *arguments, **options):
         self.result = None
@@ -83,23 +85,24 @@
 
     def wait(self):
         self._thread.join(_TIMEOUT_SECONDS)
-        assert not self._thread.is_alive(), 'no answer'
+        assert not self._thread.is_alive(), 'the call did not return'
         return self.result
 
 
 class Load:
-    """Callers of several accounts at several routers, in a thread.
+    """Callers of several client accounts at several routers, in a thread.
 
-    Each sends one request after the other, until `stop`, or just one.
+    Each caller sends requests sequentially until `stop`, or a single request
+    with `once`.
     """
 
     def __init__(self, fleet, *, accounts, callers, length, once=False):
         self._fleet = fleet
         self._accounts = accounts
-        self._callers = callers
-        self._length = length
+        self._callers_per_router = callers
+        self._answer_tokens = length
         self._once = once
-        self._over = threading.Event()
+        self._stop_requested = threading.Event()
         self._sender = build_sender()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
@@ -109,7 +112,7 @@
         return list(self._sender.observation.records)
 
     def select(self, *, entries=None, since=0.0):
-        """Return the records of some entries, begun since a time."""
+        """Return the records of requests to some routers since a time."""
         return [
             each
             for each in self.records
@@ -122,24 +125,24 @@
         return sum(each.outcome == outcome for each in found)
 
     def stop(self):
-        """Let each caller get its last answer."""
-        self._over.set()
+        """Wait until each caller has ended its current request."""
+        self._stop_requested.set()
         self.wait()
 
     def wait(self):
         self._thread.join(_TIMEOUT_SECONDS)
-        assert not self._thread.is_alive(), 'callers without an answer'
+        assert not self._thread.is_alive(), 'callers did not get an answer'
 
     def _run(self):
         greenlets = [
-            gevent.spawn(self._call, router, account, index)
+            gevent.spawn(self._run_caller, router, account, index)
             for router in self._fleet.routers.values()
             for account in self._accounts
-            for index in range(self._callers)
+            for index in range(self._callers_per_router)
         ]
         gevent.joinall(greenlets, raise_error=True)
 
-    def _call(self, router, account, index):
+    def _run_caller(self, router, account, index):
         traffic = plans.Traffic(
             account=account,
             key=deployments.read_key(account),
@@ -147,27 +150,27 @@
             entries=[router.callers],
         )
         count = 0
-        while not self._over.is_set():
+        while not self._stop_requested.is_set():
             count += 1
             name = f'{router.name}-{account}-{index}-{count}'
-            wait = self._sender.call(traffic, name, self._length)
+            pause = self._sender.call(traffic, name, self._answer_tokens)
             if self._once:
                 return
-            gevent.sleep(min(wait, 0.1))
+            gevent.sleep(min(pause, 0.1))
 
 
 def build_sender():
-    """Return callers that send what they are told."""
+    """Return callers that send requests on demand, not from a plan."""
     return callers.Callers(plans.Plan(traffics=[], seconds=1.0))
 
 
 def describe(records):
-    """Return what became of each, for a failure's message."""
+    """Return entry, outcome and reason of each record, for error messages."""
     return [(each.entry, each.outcome, each.reason) for each in records]
 
 
 def read_status(router):
-    """Return a router's status, as its operators see it."""
+    """Return a router's status from the operators' API."""
     answer = control.get(
         router.operators, '/api/status', headers=control.sign_in('operator')
     )
@@ -175,8 +178,8 @@
     return answer.read_json()
 
 
-def list_live(router):
-    """Return the names of the members that a router holds alive."""
+def list_alive_members(router):
+    """Return the names of the members that a router considers alive."""
     return {
         member['name']
         for member in read_status(router)['members']
@@ -185,30 +188,32 @@
 
 
 class VersionWatch:
-    """Polls routers' versions, each in a thread, and keeps each change."""
+    """Polls the configuration versions of routers and records each change."""
 
     def __init__(self, routers):
-        self.seen = {router.name: [] for router in routers}
-        self._over = threading.Event()
+        self.observed = {router.name: [] for router in routers}
+        self._stop_requested = threading.Event()
         self._threads = [
-            threading.Thread(target=self._watch, args=[router], daemon=True)
+            threading.Thread(
+                target=self._poll_versions, args=[router], daemon=True
+            )
             for router in routers
         ]
         for thread in self._threads:
             thread.start()
 
     def stop(self):
-        self._over.set()
+        self._stop_requested.set()
         for thread in self._threads:
             thread.join(_TIMEOUT_SECONDS)
 
-    def _watch(self, router):
-        seen = self.seen[router.name]
-        while not self._over.wait(_PAUSE_SECONDS):
+    def _poll_versions(self, router):
+        observed = self.observed[router.name]
+        while not self._stop_requested.wait(_POLL_SECONDS):
             try:
                 version = read_status(router)['version']
             except (OSError, http.client.HTTPException):
-                # Killed, or paused.
+                # The router is killed or paused.
                 continue
-            if not seen or seen[-1] != version:
-                seen.append(version)
+            if not observed or observed[-1] != version:
+                observed.append(version)
