--- a/standins/keyvalue.py
+++ b/standins/keyvalue.py
@@ -175,20 +175,20 @@
         path = environ['PATH_INFO']
         if path.startswith('/standin/'):
             return self._handle_control(path, environ, start_response)
-        kind = _CALL_NAMES.get(path) or _CALL_NAMES.get(
+        call_name = _CALL_NAMES.get(path) or _CALL_NAMES.get(
             path.rpartition('/')[0]
         )
-        if kind is None:
+        if call_name is None:
             return _respond(start_response, 404, {})
-        return self._handle_call(kind, environ, start_response)
+        return self._handle_call(call_name, environ, start_response)
 
     def _handle_call(
         self,
-        kind: str,
+        call_name: str,
         environ: server.Environ,
         start_response: server.StartResponse,
     ) -> typing.Iterable[bytes]:
-        self._count_call(kind)
+        self._count_call(call_name)
         values = _read_values(environ)
         mode = self._faults.read_mode()
         if mode == 'down':
@@ -200,23 +200,23 @@
                 raise _ErrorResponse(503)
             if mode == 'throttle':
                 raise _ErrorResponse(429)
-            if kind == 'watch':
+            if call_name == 'watch':
                 response = self._wait_for_events(values, environ)
             else:
-                response = self._handlers[kind](values)
+                response = self._handlers[call_name](values)
         except _ErrorResponse as error_response:
             return _respond(
                 start_response, error_response.status, error_response.values
             )
-        if kind in _WRITE_CALLS and self._faults.loses_answer():
+        if call_name in _WRITE_CALLS and self._faults.loses_answer():
             server.abort_connection(environ)
         return _respond(start_response, 200, response)
 
-    def _count_call(self, kind: str) -> None:
-        self._call_totals[kind] += 1
+    def _count_call(self, call_name: str) -> None:
+        self._call_totals[call_name] += 1
         second = int(time.time())
         self._calls_by_second.setdefault(second, collections.Counter())[
-            kind
+            call_name
         ] += 1
 
     def _handle_control(
--- a/tests/features/steps/promises.py
+++ b/tests/features/steps/promises.py
@@ -77,7 +77,9 @@
         lambda: (
             load.count(records.DONE, entries=entries, since=since) >= count
         ),
-        lambda: promises.describe(load.select(entries=entries, since=since)),
+        lambda: promises.describe_records(
+            load.select(entries=entries, since=since)
+        ),
     )
 
 
@@ -125,7 +127,7 @@
         for each in found
         if each.outcome in (records.WRONG, records.FAILED)
     ]
-    assert not wrong_answers, promises.describe(wrong_answers)
+    assert not wrong_answers, promises.describe_records(wrong_answers)
 
 
 @behave.then('all slots of the process fleet are in use again')
@@ -339,7 +341,7 @@
     found = context.load.records
     assert code == 0, code
     assert all(each.outcome == records.DONE for each in found), (
-        promises.describe(found)
+        promises.describe_records(found)
     )
 
 
@@ -442,7 +444,7 @@
         for each in context.load.records
         if each.outcome not in (records.DONE, records.REFUSED)
     ]
-    assert not wrong_answers, promises.describe(wrong_answers)
+    assert not wrong_answers, promises.describe_records(wrong_answers)
 
 
 @behave.when(
--- a/tests/soak/deployment.py
+++ b/tests/soak/deployment.py
@@ -119,8 +119,8 @@
         self.crashes_before = {}
         # Times at which the store had acknowledged the configuration change;
         # None until then.
-        self.revoked = None
-        self.added = None
+        self.revoked_at = None
+        self.added_at = None
         self._version = 0
         self._router_count = routers
         self._seed = seed
@@ -130,7 +130,7 @@
     def __enter__(self):
         try:
             self.store = self._start('store', 'keyvalue')
-            self._configure()
+            self._write_configuration()
             self._proxy = self._start('network-proxy', 'proxy')
             for index in range(_SERVERS_PER_SERVICE):
                 for service in ('llm', 'plain'):
@@ -258,14 +258,18 @@
 
     def change_configuration(self, *, revoked=False, added=False):
         """Revoke the key or add the route, unless already done."""
-        if revoked and self.revoked is None:
-            self._configure(revoked=True, added=self.added is not None)
-            self.revoked = time.monotonic()
-        if added and self.added is None:
-            self._configure(revoked=self.revoked is not None, added=True)
-            self.added = time.monotonic()
-
-    def _configure(self, *, revoked=False, added=False):
+        if revoked and self.revoked_at is None:
+            self._write_configuration(
+                revoked=True, added=self.added_at is not None
+            )
+            self.revoked_at = time.monotonic()
+        if added and self.added_at is None:
+            self._write_configuration(
+                revoked=self.revoked_at is not None, added=True
+            )
+            self.added_at = time.monotonic()
+
+    def _write_configuration(self, *, revoked=False, added=False):
         self._version += 1
         values = operated.build_configuration(self._version)
         if added:
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -15,8 +15,8 @@
 # Upper bound for server crashes by one request after all faults have ended.
 _MAX_FURTHER_CRASHES = 3
 # Upper bounds for the executions of one attempt, by route.
-_MAX_RUNS = {'write': 1, 'once': 1}
-_DEFAULT_MAX_RUNS = 2
+_MAX_EXECUTIONS = {'write': 1, 'once': 1}
+_DEFAULT_MAX_EXECUTIONS = 2
 # Tolerance added to the bounds of configuration changes. All times come from
 # one clock, so that it only covers the way of the store's acknowledgement.
 _STORE_DELAY_SECONDS = 0.3
@@ -28,7 +28,7 @@
 _EVENT = re.compile(rb'id: (\d+)\ndata: (\S+)\n\n')
 
 
-class Run:
+class Execution:
     """One execution of an attempt, as logged by the backend server."""
 
     __slots__ = ('server', 'seal', 'account', 'has_key', 'after', 'body')
@@ -42,65 +42,71 @@
         self.body = values['body'].encode()
 
 
-def read_runs(folder):
+def read_executions(folder):
     """Return the executions of each attempt from the servers' logs."""
-    runs = collections.defaultdict(list)
+    executions = collections.defaultdict(list)
     for path in sorted(folder.glob('*.*.log')):
         for line in path.read_text().splitlines():
             if line.startswith('{"run"'):
                 values = json.loads(line)
-                runs[values['run']].append(Run(path.name, values))
-    return runs
+                executions[values['run']].append(Execution(path.name, values))
+    return executions
 
 
-def check(deployment, attempts, runs):
+def check(deployment, attempts, executions):
     """Yield a line for each violated guarantee."""
     for attempt in attempts:
         for violation in _check_attempt(
-            deployment, attempt, runs[attempt.name]
+            deployment, attempt, executions[attempt.name]
         ):
-            yield f'{_describe(attempt, runs[attempt.name])}: {violation}'
-    yield from _check_retry_budget(attempts, runs)
-    yield from _check_crashes(deployment, runs)
-    yield from _check_leaving(attempts, runs)
+            yield (
+                f'{_describe(attempt, executions[attempt.name])}: {violation}'
+            )
+    yield from _check_retry_budget(attempts, executions)
+    yield from _check_crashes(deployment, executions)
+    yield from _check_leaving(attempts, executions)
     yield from _check_backoffs(deployment, attempts)
     for path in sorted(deployment.folder.glob('router-*.log')):
         text = path.read_text()
-        for found in re.finditer(r'.*(?:Traceback|level=error).*', text):
-            yield f'{path.name}: {found[0][:300]}'
+        for match in re.finditer(r'.*(?:Traceback|level=error).*', text):
+            yield f'{path.name}: {match[0][:300]}'
 
 
-def _describe(attempt, runs):
+def _describe(attempt, executions):
     answer = attempt.answer
     received = answer.data[:400] if answer else None
-    executions = [(each.server, each.after) for each in runs]
+    locations = [(each.server, each.after) for each in executions]
     return (
         f'{attempt.name} {attempt.route} key={attempt.key!r}'
-        f' start={attempt.router_start_count} runs={executions}'
+        f' start={attempt.router_start_count} runs={locations}'
         f' received={received!r}'
     )
 
 
-def _check_attempt(deployment, attempt, runs):
+def _check_attempt(deployment, attempt, executions):
     if attempt.timed_out:
         yield 'the attempt did not end'
-    if len(runs) > _MAX_RUNS.get(attempt.route, _DEFAULT_MAX_RUNS):
+    if len(executions) > _MAX_EXECUTIONS.get(
+        attempt.route, _DEFAULT_MAX_EXECUTIONS
+    ):
         yield 'executed too often'
-    if attempt.status in _NOT_EXECUTED and runs:
+    if attempt.status in _NOT_EXECUTED and executions:
         yield 'reported as not executed, but was executed'
     if attempt.status in _RETRYABLE:
         if 'retry-after' not in attempt.answer.headers:
             yield 'the refusal has no Retry-After header'
-    if any(each.has_key for each in runs):
+    if any(each.has_key for each in executions):
         yield 'a backend server received the API key'
     if _is_quarantined(attempt) and not attempt.body:
         yield 'quarantined, but the request crashes no server'
     account = _ACCOUNTS.get(attempt.key)
-    if account is not None and any(each.account != account for each in runs):
+    if account is not None and any(
+        each.account != account for each in executions
+    ):
         yield 'a backend server received the wrong account'
     yield from _check_admission(deployment, attempt)
     if attempt.status == 200:
-        yield from _check_body(attempt, runs)
+        yield from _check_body(attempt, executions)
 
 
 def _is_quarantined(attempt):
@@ -122,17 +128,20 @@
     elif revoked:
         bound = deployment_module.REVOKE_SECONDS
         if (
-            _is_past_bound(attempt, deployment.revoked, bound)
+            _is_past_bound(attempt, deployment.revoked_at, bound)
             and status == 200
         ):
             yield 'a revoked key was admitted'
-        if status == 401 and deployment.revoked is None:
+        if status == 401 and deployment.revoked_at is None:
             yield 'a valid key was refused'
     elif route == deployment_module.ADDED_ROUTE:
         bound = deployment_module.APPLY_SECONDS
-        if _is_past_bound(attempt, deployment.added, bound) and status == 404:
+        if (
+            _is_past_bound(attempt, deployment.added_at, bound)
+            and status == 404
+        ):
             yield 'an added route was not found'
-        if status == 200 and deployment.added is None:
+        if status == 200 and deployment.added_at is None:
             yield 'a route was found before it was added'
     elif status not in _ALLOWED:
         yield f'unexpected status {status}'
@@ -144,12 +153,12 @@
     return attempt.sent_at > changed + bound + _STORE_DELAY_SECONDS
 
 
-def _check_body(attempt, runs):
+def _check_body(attempt, executions):
     answer = attempt.answer
     seal = answer.headers.get('amaranthslip-server-seal', '')
     if not seal.startswith('seal-') or seal == 'seal-another':
         yield 'the seal is missing or belongs to another attempt'
-    if not runs:
+    if not executions:
         yield 'answered, but no backend server executed the request'
     if attempt.route in callers_module.STREAM_ROUTES:
         yield from _check_events(attempt)
@@ -174,32 +183,39 @@
         yield f'ended as complete after {len(events)} events'
 
 
-def _check_retry_budget(attempts, runs):
+def _check_retry_budget(attempts, executions):
     """Check repeated executions by all routers against the retry budget."""
-    second_runs = sum(max(0, len(runs[each.name]) - 1) for each in attempts)
+    repeated_executions = sum(
+        max(0, len(executions[each.name]) - 1) for each in attempts
+    )
     seconds = attempts[-1].sent_at - attempts[0].sent_at if attempts else 0.0
     windows = 1 + seconds / deployment_module.RETRY_WINDOW_SECONDS
     allowed = (
         deployment_module.RETRY_RATIO * len(attempts)
         + deployment_module.RETRY_SLACK * windows
     )
-    if second_runs > allowed:
+    if repeated_executions > allowed:
         yield (
-            f'{second_runs} repeated executions in {len(attempts)} attempts;'
+            f'{repeated_executions} repeated executions'
+            f' in {len(attempts)} attempts;'
             f' the retry budget allows {allowed:.0f}'
         )
 
 
-def count_crashes(runs, body):
+def count_crashes(executions, body):
     """Return how many servers the request with this body has crashed."""
-    return sum(each.body == body for found in runs.values() for each in found)
+    return sum(
+        each.body == body
+        for attempt_executions in executions.values()
+        for each in attempt_executions
+    )
 
 
-def _check_crashes(deployment, runs):
+def _check_crashes(deployment, executions):
     """Check that crashing requests stop crashing servers after the faults."""
     for _, _, body in callers_module.CRASHING_REQUESTS:
         before = deployment.crashes_before.get(body, 0)
-        after = count_crashes(runs, body) - before
+        after = count_crashes(executions, body) - before
         if after > _MAX_FURTHER_CRASHES:
             yield (
                 f'{body.decode()} crashed {before} servers, and {after} more'
@@ -207,7 +223,7 @@
             )
 
 
-def _check_leaving(attempts, runs):
+def _check_leaving(attempts, executions):
     """Check that routers stop sending to servers that report leaving."""
     reported = {}
     for attempt in attempts:
@@ -220,12 +236,12 @@
             reported[key] = min(attempt.answered_at, earliest)
     bound = deployment_module.DRAIN_SECONDS
     for attempt in attempts:
-        for run in runs[attempt.name]:
-            key = (attempt.router, attempt.router_start_count, run.seal)
+        for execution in executions[attempt.name]:
+            key = (attempt.router, attempt.router_start_count, execution.seal)
             since = reported.get(key)
             if since is not None and attempt.sent_at > since + bound:
                 yield (
-                    f'{attempt.name} reached {run.server}'
+                    f'{attempt.name} reached {execution.server}'
                     f' {attempt.sent_at - since:.1f} s after it reported to'
                     f' {attempt.router} that it is leaving'
                 )
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -87,9 +87,11 @@
 def send_crashing_requests(deployment, attempts):
     """Send each crashing request to every router again."""
     time.sleep(_RECONNECT_DELAY_SECONDS)
-    runs = promises.read_runs(deployment.folder)
+    executions = promises.read_executions(deployment.folder)
     for route, key, body in callers_module.CRASHING_REQUESTS:
-        deployment.crashes_before[body] = promises.count_crashes(runs, body)
+        deployment.crashes_before[body] = promises.count_crashes(
+            executions, body
+        )
         for number in range(_CRASHING_REQUEST_ROUNDS):
             for router in deployment.routers.values():
                 attempt = callers_module.Attempt(
@@ -135,9 +137,9 @@
         load.stop()
         attempts += load.attempts
         attempts.sort(key=lambda each: each.sent_at)
-        runs = promises.read_runs(folder)
+        executions = promises.read_executions(folder)
         violations += deployment.violations
-        violations += promises.check(deployment, attempts, runs)
+        violations += promises.check(deployment, attempts, executions)
     return violations, promises.summarize(attempts)
 
 
--- a/tests/support/promises.py
+++ b/tests/support/promises.py
@@ -164,7 +164,7 @@
     return callers.Callers(plans.Plan(traffics=[], seconds=1.0))
 
 
-def describe(records):
+def describe_records(records):
     """Return entry, outcome and reason of each record, for error messages."""
     return [(each.entry, each.outcome, each.reason) for each in records]
 
