--- a/tests/features/steps/pages.py
+++ b/tests/features/steps/pages.py
@@ -14,7 +14,8 @@
 # Patterns of code that sets a counter's label or an error's reason.
 _REASON_PATTERNS = (
     r"(?:RequestRefused|_refuse)\(\s*'([a-z_]+)'",
-    r"(?:BackendFailed|_describe_cut|_fail)\(\s*'([a-z_]+)'",
+    r'(?:BackendFailed|_build_stream_error|_close_with_failure|_fail)'
+    r"\(\s*'([a-z_]+)'",
     r"\.count\(\s*'[a-z_]+', '([a-z_]+)'",
     r"_count_drops\('([a-z_]+)'",
 )
