--- a/bench/dispatch_slopes.py
+++ b/bench/dispatch_slopes.py
@@ -11,7 +11,7 @@
 from amaranthslip.members import members
 from amaranthslip.requests import outcomes
 from amaranthslip.shares import ledger
-from amaranthslip.shares import lines
+from amaranthslip.shares import queues
 from bench import slope
 from tests.support import dispatching
 
@@ -161,12 +161,12 @@
             service_ledger.report(f'account-{index}', entry, running=1, seen=0)
     middle = slope.read_resident_bytes()
     # Holds references, so that the queues stay in memory.
-    queues = []
+    account_queues = []
     for index in range(_STATE_ACCOUNTS):
-        line = lines.Line('pool', f'account-{index}')
+        queue = queues.AccountQueue('pool', f'account-{index}')
         for name in range(8):
-            line.told[f'router-{name}'] = lines.Told(0.0)
-        queues.append(line)
+            queue.reported[f'router-{name}'] = queues.ReportedState(0.0)
+        account_queues.append(queue)
     after = slope.read_resident_bytes()
     return [
         slope.Slope(
--- a/bench/patterns.py
+++ b/bench/patterns.py
@@ -507,7 +507,7 @@
         self.on_time: collections.Counter[str] = collections.Counter()
         self.late: collections.Counter[str] = collections.Counter()
         self.refused: collections.Counter[str] = collections.Counter()
-        # Tokens by account, as `Need.tokens` counts them.
+        # Tokens by account, as `PlacementRequest.tokens` counts them.
         self.granted_tokens: collections.Counter[str] = collections.Counter()
         # Requests sent to an engine that is down.
         self.lost = 0
@@ -739,9 +739,9 @@
         retries: int,
     ) -> None:
         instance = self.instances[self._random.choice(self.names)]
-        need = places.Need(
+        placement_request = places.PlacementRequest(
             service=SERVICE,
-            account=account,
+            client_account=account,
             route=build_route(kind),
             prompt=prompt,
             arrived=self._now,
@@ -749,10 +749,10 @@
         )
         choose = getattr(self, f'_choose_{self._policy}')
         try:
-            server, place = choose(instance, need)
+            server, place = choose(instance, placement_request)
         except errors.RequestRefused as refusal:
             wait = 0.05 if self.pattern.retry_at_once else refusal.retry_after
-            if retries and self._now + wait < need.deadline:
+            if retries and self._now + wait < placement_request.deadline:
                 self.call_later(
                     wait,
                     lambda: self._send_request(
@@ -764,59 +764,69 @@
                 self.result.refused[account] += 1
             return
         self._run_request(
-            kind, account, need, instance, server, place, first_arrival
+            kind,
+            account,
+            placement_request,
+            instance,
+            server,
+            place,
+            first_arrival,
         )
 
     def _choose_placement(
-        self, instance: Instance, need: places.Need
+        self, instance: Instance, placement_request: places.PlacementRequest
     ) -> tuple[str, places.Place | None]:
         # All instances share one demand count: in a real fleet they report
         # their demand to one instance, which adds the reports up.
         demand = self.instances[self.names[0]].placement.demand
         instance.placement.demand = demand
-        demand.note_asked(need.account, need.tokens)
+        demand.note_requested(
+            placement_request.client_account, placement_request.tokens
+        )
         began = time.thread_time()
         self.result.placement_calls += 1
         try:
-            place = instance.keepers.reserve(need)
+            place = instance.keepers.reserve(placement_request)
         finally:
             self.result.placement_seconds += time.thread_time() - began
-        demand.note_granted(need.account, need.tokens)
+        demand.note_granted(
+            placement_request.client_account, placement_request.tokens
+        )
         return place.server.name, place
 
     def _choose_least_loaded(
-        self, instance: Instance, need: places.Need
+        self, instance: Instance, placement_request: places.PlacementRequest
     ) -> tuple[str, places.Place | None]:
         names = list(self.engines)
         self._random.shuffle(names)
         return min(names, key=lambda name: instance.in_progress[name]), None
 
     def _choose_affinity(
-        self, instance: Instance, need: places.Need
+        self, instance: Instance, placement_request: places.PlacementRequest
     ) -> tuple[str, places.Place | None]:
-        key = need.prompt.shared_key
+        key = placement_request.prompt.shared_key
         return max(
-            self.engines, key=lambda name: identity.rank(key, name)
+            self.engines, key=lambda name: identity.rendezvous_hash(key, name)
         ), None
 
     def _run_request(
         self,
         kind: Kind,
         account: str,
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         instance: Instance,
         server: str,
         place: places.Place | None,
         first_arrival: float,
     ) -> None:
         instance.in_progress[server] += 1
-        self.result.granted_tokens[account] += need.tokens
+        self.result.granted_tokens[account] += placement_request.tokens
         self.result.sends[server] += 1
         if self.pattern.engine_lost(int(server.rpartition('-')[2]), self._now):
             self._fail_request(instance, server, place)
             return
         engine = self.engines[server]
-        prompt = need.prompt
+        prompt = placement_request.prompt
         started, uncached = engine.process(prompt, self._now)
         self.result.shared_tokens += sum(e.tokens for e in prompt.parts[:-1])
         self.result.uncached_tokens += uncached
@@ -877,8 +887,8 @@
 
 
 def _count_tokens(kind: Kind, prompt: prompts.Prompt) -> float:
-    """Return the weighted tokens of a request, like `Need.tokens`."""
-    weighted = demand_module.GENERATED_WEIGHT * kind.generated
+    """Return the weighted tokens, like `PlacementRequest.tokens`."""
+    weighted = demand_module.GENERATED_TOKEN_WEIGHT * kind.generated
     return prompt.own_tokens + weighted
 
 
--- a/examples/dispatch.py
+++ b/examples/dispatch.py
@@ -116,7 +116,7 @@
 
     def build_greeting(self, name: str) -> list[object]:
         """Return the messages that open a connection to a peer."""
-        question = self._dispatcher.build_question()
+        question = self._dispatcher.build_restate()
         return [question, *self.scheduler.restate(name)]
 
     def _receive_messages(self) -> None:
--- a/examples/fairqueue.py
+++ b/examples/fairqueue.py
@@ -86,8 +86,8 @@
         """Refill the backlog, grant free slots and generate tokens."""
         for client_account in _SHARES:
             self._fill_backlog(client_account)
-        while choice := self._queue.choose(1.0, silent=()):
-            self._queue.take(choice.demand)
+        while choice := self._queue.choose(1.0, unresponsive=()):
+            self._queue.count_grant(choice.demand)
             self._start_request(choice.demand.client_account)
         for holding in list(self._slots.holdings.values()):
             self._generate_tokens(holding)
@@ -102,8 +102,8 @@
             estimate=150.0,
         )
         if became_backlogged:
-            self._queue.ledger.begin(client_account, 0.0)
-            self._queue.ledger.expect(client_account, 150.0)
+            self._queue.ledger.mark_backlogged(client_account, 0.0)
+            self._queue.ledger.set_estimate(client_account, 150.0)
 
     def _start_request(self, client_account: str) -> None:
         self._last_id += 1
--- a/src/amaranthslip/configuration/rules.py
+++ b/src/amaranthslip/configuration/rules.py
@@ -89,7 +89,7 @@
             )
             continue
         first[name] = index
-        other = numbers.setdefault(identity.identify(name), name)
+        other = numbers.setdefault(identity.hash_name(name), name)
         if other != name:
             allowed = (
                 f'any other name (this one and {other!r} have the same '
--- a/src/amaranthslip/configuration/sources.py
+++ b/src/amaranthslip/configuration/sources.py
@@ -174,7 +174,9 @@
 ) -> list[members.Member]:
     """Return members by rendezvous hashing, the highest rank first."""
     return sorted(
-        live, key=lambda each: identity.rank(key, each.name), reverse=True
+        live,
+        key=lambda each: identity.rendezvous_hash(key, each.name),
+        reverse=True,
     )
 
 
--- a/src/amaranthslip/configuration/watchers.py
+++ b/src/amaranthslip/configuration/watchers.py
@@ -60,7 +60,7 @@
 def _select_watchers(live: typing.Iterable[members.Member]) -> tuple[str, ...]:
     domains = collections.defaultdict(list)
     for member in live:
-        rank = identity.rank(_PURPOSE, member.name)
+        rank = identity.rendezvous_hash(_PURPOSE, member.name)
         domains[member.failure_domain].append((rank, member.name))
     selected = []
     for ranked in domains.values():
--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -154,9 +154,15 @@
                 last_id=call.resumed_after,
                 read_hold=self._read_hold,
             )
-        if call.need.prompt is not None and call.need.account:
-            self._demand.note_asked(call.need.account, call.need.tokens)
-        self._budget.note_request(call.need.service)
+        if (
+            call.placement_request.prompt is not None
+            and call.placement_request.client_account
+        ):
+            self._demand.note_requested(
+                call.placement_request.client_account,
+                call.placement_request.tokens,
+            )
+        self._budget.note_request(call.placement_request.service)
         caller.watch()
         try:
             return self._run_until_deadline(call, relay, caller)
@@ -204,7 +210,7 @@
             self._reader.check_keys_trusted(call)
             self._crash_guard.check(call)
             caller.check()
-            place = self._keepers.reserve(call.need)
+            place = self._keepers.reserve(call.placement_request)
             self._count_granted(call)
             call.tries += 1
             with place:
@@ -226,11 +232,17 @@
     def _count_granted(self, call: routed.RoutedCall) -> None:
         # Counted once per request, as its demand is. A retry uses the engines
         # again, but the client account did not request it.
-        if call.need.granted:
+        if call.placement_request.placed_before:
             return
-        call.need.granted = True
-        if call.need.account and call.need.prompt:
-            self._demand.note_granted(call.need.account, call.need.tokens)
+        call.placement_request.placed_before = True
+        if (
+            call.placement_request.client_account
+            and call.placement_request.prompt
+        ):
+            self._demand.note_granted(
+                call.placement_request.client_account,
+                call.placement_request.tokens,
+            )
 
     def _record_failure(
         self,
@@ -239,7 +251,7 @@
         place: places.Place,
         failure: errors.BackendFailed,
     ) -> None:
-        call.need.excluded.add(place.server.name)
+        call.placement_request.excluded_servers.add(place.server.name)
         if failure.reason in outcomes.REJECTIONS:
             place.reject()
         else:
@@ -283,7 +295,7 @@
         if call.seconds_left < _MIN_TRY_SECONDS:
             self._deny_retry(failure, 'deadline')
         if failure.reason not in _UNCHARGED_REASONS:
-            if not self._budget.take(call.need.service):
+            if not self._budget.take(call.placement_request.service):
                 self._deny_retry(failure, 'budget')
         if relay is not None:
             call.resumed_after = relay.last_id
@@ -318,7 +330,9 @@
                 'server': place.server.name,
                 'service': place.server.service,
                 'expected_ms': int(place.expected_seconds * 1000),
-                'waited_ms': int((started_at - call.need.arrived) * 1000),
+                'waited_ms': int(
+                    (started_at - call.placement_request.arrived) * 1000
+                ),
                 'left_ms': int(call.seconds_left * 1000),
             },
         )
@@ -351,7 +365,7 @@
     ) -> outgoing.Outgoing:
         pairs = call.headers + wire.describe_try(
             server_name=place.server.name,
-            client_account=call.need.account,
+            client_account=call.placement_request.client_account,
             seconds_left=call.seconds_left,
             resume_after=call.resumed_after,
         )
@@ -396,7 +410,7 @@
         call.kept_connection_broke = True
         if call.runs >= call.route.most_runs:
             return False
-        if not self._budget.take(call.need.service):
+        if not self._budget.take(call.placement_request.service):
             return False
         call.runs += 1
         self._metrics.count('retries', 'kept_connection')
@@ -444,7 +458,9 @@
         now = time.monotonic()
         call.summary.note_answer_start(now)
         took_seconds = now - sent_at
-        self._metrics.record('first_token', now - call.need.arrived)
+        self._metrics.record(
+            'first_token', now - call.placement_request.arrived
+        )
         late_seconds = took_seconds - place.expected_seconds
         self._metrics.record('first_token_error', abs(late_seconds))
         if late_seconds < _LATE_FIRST_EVENT_SECONDS:
@@ -456,7 +472,7 @@
                 'server': place.server.name,
                 'expected_ms': int(place.expected_seconds * 1000),
                 'took_ms': int(took_seconds * 1000),
-                'unread': int(place.unread),
+                'unread': int(place.unread_tokens),
             },
         )
 
@@ -496,7 +512,7 @@
             return
         # Charged before the answer is discarded: without budget for a retry,
         # the answer is passed on to the caller.
-        if self._budget.take(call.need.service):
+        if self._budget.take(call.placement_request.service):
             raise errors.BackendFailed(
                 _SERVER_ERROR,
                 f'the backend server failed with {answer.status}',
--- a/src/amaranthslip/entry/notes.py
+++ b/src/amaranthslip/entry/notes.py
@@ -15,14 +15,14 @@
 
     Parameters
     ----------
-    need : Need
+    placement_request : PlacementRequest
         The placement requirements of the request.
     """
 
     __slots__ = ('_need', '_answer_started_at')
 
-    def __init__(self, need: places.Need) -> None:
-        self._need = need
+    def __init__(self, placement_request: places.PlacementRequest) -> None:
+        self._need = placement_request
         self._answer_started_at: float | None = None
 
     def note_answer_start(self, now: float) -> None:
@@ -38,21 +38,23 @@
 
     def list_fields(self) -> dict[str, typing.Any]:
         """Return the fields for the request's final log record."""
-        need = self._need
+        placement_request = self._need
         fields: dict[str, typing.Any] = {
-            'service': need.service,
-            'client_account': need.account,
-            'tokens': int(need.tokens),
-            'objective_ms': int(need.route.objective_seconds * 1000),
+            'service': placement_request.service,
+            'client_account': placement_request.client_account,
+            'tokens': int(placement_request.tokens),
+            'objective_ms': int(
+                placement_request.route.objective_seconds * 1000
+            ),
         }
         if self._answer_started_at is not None:
             fields['first_ms'] = int(
-                (self._answer_started_at - need.arrived) * 1000
+                (self._answer_started_at - placement_request.arrived) * 1000
             )
-        if need.prompt is not None:
-            fields |= _describe_prompt(need.prompt)
-        if need.estimate is not None:
-            fields |= _describe_estimate(need.estimate)
+        if placement_request.prompt is not None:
+            fields |= _describe_prompt(placement_request.prompt)
+        if placement_request.estimate is not None:
+            fields |= _describe_estimate(placement_request.estimate)
         return fields
 
 
@@ -63,9 +65,9 @@
     return {'prompt_id': prompt_id, 'prompt_tokens': prompt.prompt_tokens}
 
 
-def _describe_estimate(estimate: places.Estimate) -> dict[str, typing.Any]:
+def _describe_estimate(estimate: places.WaitEstimate) -> dict[str, typing.Any]:
     return {
-        'unread': int(estimate.unread),
+        'unread': int(estimate.unread_tokens),
         'reading_ms': int(estimate.reading_seconds * 1000),
         'ahead_ms': int(estimate.ahead_seconds * 1000),
         'judged_ms': int(estimate.judged_seconds * 1000),
--- a/src/amaranthslip/entry/routed.py
+++ b/src/amaranthslip/entry/routed.py
@@ -32,7 +32,7 @@
         The caller's attempt id, which identifies the request in logs.
     route : Route
         The route that was in force when the request arrived.
-    need : Need
+    placement_request : PlacementRequest
         The placement requirements.
     method, target, host : str
         The method, request target and Host header of the request.
@@ -52,7 +52,7 @@
     __slots__ = (
         'request_id',
         'route',
-        'need',
+        'placement_request',
         'method',
         'target',
         'host',
@@ -73,7 +73,7 @@
         *,
         request_id: str,
         route: routes.Route,
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         method: str,
         target: str,
         host: str,
@@ -85,7 +85,7 @@
     ) -> None:
         self.request_id = request_id
         self.route = route
-        self.need = need
+        self.placement_request = placement_request
         self.method = method
         self.target = target
         self.host = host
@@ -101,12 +101,12 @@
         self.kept_connection_broke = False
         # Id of the last stream event that the caller received; 0: none.
         self.resumed_after = facts.resume_after
-        self.summary = notes.Note(need)
+        self.summary = notes.Note(placement_request)
 
     @property
     def seconds_left(self) -> float:
         """Seconds until the deadline; negative after it."""
-        return self.need.deadline - time.monotonic()
+        return self.placement_request.deadline - time.monotonic()
 
 
 class RouteReader:
@@ -221,20 +221,20 @@
                 "this instance's configuration may be out of date",
             )
 
-    def build_need(
+    def build_placement_request(
         self,
         route: routes.Route,
         account: document.ClientAccount | None,
         facts: wire.RequestFacts,
         arrived: float,
-    ) -> places.Need:
+    ) -> places.PlacementRequest:
         """Return the placement requirements of a request."""
         seconds = route.timeout_seconds
         if facts.wait_seconds is not None:
             seconds = min(seconds, facts.wait_seconds)
-        return places.Need(
+        return places.PlacementRequest(
             service=route.choose_service(self._random),
-            account='' if account is None else account.name,
+            client_account='' if account is None else account.name,
             route=route,
             prompt=facts.prompt,
             arrived=arrived,
@@ -244,7 +244,7 @@
     def build_call(
         self,
         environ: dict[str, typing.Any],
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         facts: wire.RequestFacts,
         target: str,
         body: bytes,
@@ -254,8 +254,8 @@
         host = environ.get('HTTP_HOST', '')
         return RoutedCall(
             request_id=facts.attempt_id,
-            route=need.route,
-            need=need,
+            route=placement_request.route,
+            placement_request=placement_request,
             method=method,
             target=target,
             host=host,
@@ -264,9 +264,9 @@
             ),
             facts=facts,
             body=body,
-            key_authorised=bool(need.account),
+            key_authorised=bool(placement_request.client_account),
             fingerprint=fingerprints.compute_fingerprint(
-                client_account=need.account,
+                client_account=placement_request.client_account,
                 method=method,
                 host=host,
                 target=target,
--- a/src/amaranthslip/entry/routing.py
+++ b/src/amaranthslip/entry/routing.py
@@ -78,9 +78,13 @@
                 ' id with each attempt',
                 status=400,
             )
-        need = self._reader.build_need(route, account, facts, arrived)
+        placement_request = self._reader.build_placement_request(
+            route, account, facts, arrived
+        )
         body = bodies.read_body(environ, self._settings)
-        call = self._reader.build_call(environ, need, facts, target, body)
+        call = self._reader.build_call(
+            environ, placement_request, facts, target, body
+        )
         caller.note = call.summary
         return self._forwarding.run(call, caller)
 
--- a/src/amaranthslip/identity.py
+++ b/src/amaranthslip/identity.py
@@ -8,7 +8,7 @@
 
 
 @functools.lru_cache(maxsize=65536)
-def identify(name: str) -> int:
+def hash_name(name: str) -> int:
     """Return the 48-bit hash of a name.
 
     48 bits keep a packed message short. Among 25,000 names, the probability
@@ -18,6 +18,6 @@
     return xxhash.xxh3_64_intdigest(name.encode()) & ((1 << _BITS) - 1)
 
 
-def rank(key: str, name: str) -> int:
+def rendezvous_hash(key: str, name: str) -> int:
     """Return the rendezvous hash of `name` for `key`; the highest wins."""
     return xxhash.xxh3_64_intdigest(f'{key}\0{name}'.encode())
--- a/src/amaranthslip/links/registry.py
+++ b/src/amaranthslip/links/registry.py
@@ -5,7 +5,7 @@
 from amaranthslip.members import messages as member_messages
 from amaranthslip.requests import claim_messages
 from amaranthslip.requests import crash_messages
-from amaranthslip.shares import activity
+from amaranthslip.shares import load_messages
 from amaranthslip.shares import messages as share_messages
 
 
@@ -25,13 +25,17 @@
     codec.register(share_messages.Confirm)
     codec.register(share_messages.Digest)
     codec.register(share_messages.Own)
-    codec.register(activity.PlaceAsk)
-    codec.register(activity.PlaceAnswer)
-    codec.register(activity.PlaceStarted)
-    codec.register(activity.PlaceEnded)
-    codec.register(activity.ServerEjected)
-    codec.register(activity.DemandReport, accounts=activity.AccountDemand)
-    codec.register(activity.DemandLevel, accounts=activity.AccountDemand)
+    codec.register(load_messages.PlaceAsk)
+    codec.register(load_messages.PlaceAnswer)
+    codec.register(load_messages.PlaceStarted)
+    codec.register(load_messages.PlaceEnded)
+    codec.register(load_messages.ServerEjected)
+    codec.register(
+        load_messages.DemandReport, accounts=load_messages.AccountDemand
+    )
+    codec.register(
+        load_messages.DemandLevel, accounts=load_messages.AccountDemand
+    )
     codec.register(
         configuration_messages.StoreChanges,
         entries=configuration_messages.StoreEntry,
--- a/src/amaranthslip/members/partners.py
+++ b/src/amaranthslip/members/partners.py
@@ -29,7 +29,7 @@
     list of str
         One for each power of two below the number of names.
     """
-    ring = sorted({own, *names}, key=identity.identify)
+    ring = sorted({own, *names}, key=identity.hash_name)
     position = ring.index(own)
     chosen = []
     step = 1
--- a/src/amaranthslip/members/rendezvous.py
+++ b/src/amaranthslip/members/rendezvous.py
@@ -26,5 +26,5 @@
     list of str
         Highest weight first. Among equal weights the greater name is first.
     """
-    ranked = ((identity.rank(key, name), name) for name in names)
+    ranked = ((identity.rendezvous_hash(key, name), name) for name in names)
     return [name for _, name in heapq.nlargest(count, ranked)]
--- a/src/amaranthslip/operated.py
+++ b/src/amaranthslip/operated.py
@@ -49,23 +49,23 @@
 from amaranthslip.requests import crash_messages
 from amaranthslip.requests import quarantine
 from amaranthslip import settings as settings_module
-from amaranthslip.shares import activity
 from amaranthslip.shares import demand
+from amaranthslip.shares import demand_reports
 from amaranthslip.shares import keepers
+from amaranthslip.shares import load_messages
 from amaranthslip.shares import placement
-from amaranthslip.shares import reports
 
 _LOG = logging.getLogger(__name__)
 
 _KeeperMessage = (
-    activity.PlaceAsk
-    | activity.PlaceAnswer
-    | activity.PlaceStarted
-    | activity.PlaceEnded
-    | activity.ServerEjected
+    load_messages.PlaceAsk
+    | load_messages.PlaceAnswer
+    | load_messages.PlaceStarted
+    | load_messages.PlaceEnded
+    | load_messages.ServerEjected
 )
 _CrashMessage = crash_messages.CrashReports | crash_messages.RequestCompleted
-_DemandMessage = activity.DemandReport | activity.DemandLevel
+_DemandMessage = load_messages.DemandReport | load_messages.DemandLevel
 _MemberMessage = (
     member_messages.Probe
     | member_messages.ProbeAnswer
@@ -206,7 +206,7 @@
             self.metrics,
             read_lag=self._pressure.read_lag,
         )
-        self._reports = reports.DemandReports(
+        self._reports = demand_reports.DemandReports(
             self._roster, self._links, demands, self._holder
         )
         self._connections = connections.Connections(settings)
@@ -358,7 +358,7 @@
                 generation, timeout=_CLEANUP_SECONDS
             )
             self._apply_caller_limits()
-            self._keepers.purge()
+            self._keepers.drop_expired()
             servers = self._directory.list_all()
             self._connections.keep_only([each.address for each in servers])
 
@@ -411,8 +411,8 @@
 
     @_route.register
     def _(self, message: member_messages.Hello, sender: str) -> None:
-        self._keepers.greet(sender)
-        self._reports.greet(sender)
+        self._keepers.forget_peer(sender)
+        self._reports.forget_peer(sender)
         self._relaying.forget(sender)
         self._detector.receive(sender, message)
 
--- a/src/amaranthslip/requests/claims.py
+++ b/src/amaranthslip/requests/claims.py
@@ -124,7 +124,7 @@
         self._metrics = metrics_
         self._name = name
         self._clock = clock
-        self._owner = identity.identify(name)
+        self._owner = identity.hash_name(name)
         self._collectors: dict[int, str] = {}
         self._collectors_generation: object = None
         self._groups: dict[int, claim_groups.ClaimGroup] = {}
@@ -286,7 +286,9 @@
             names = [member.name for member in self._roster.live()]
             self._collectors[shard] = max(
                 names or [self._name],
-                key=lambda name: identity.rank(f'claims/{shard}', name),
+                key=lambda name: identity.rendezvous_hash(
+                    f'claims/{shard}', name
+                ),
             )
         return self._collectors[shard]
 
@@ -305,7 +307,7 @@
 
     def _is_live(self, owner: int) -> bool:
         return any(
-            identity.identify(member.name) == owner
+            identity.hash_name(member.name) == owner
             for member in self._roster.live()
         )
 
@@ -319,7 +321,7 @@
         limit = self._settings.platform.timeout_seconds
         pending = claim_groups.PendingClaim(
             request,
-            owner=identity.identify(sender),
+            owner=identity.hash_name(sender),
             deadline=time.monotonic() + limit * 2,
             reply=functools.partial(self._reply_to_claim, sender, request),
         )
--- a/src/amaranthslip/router.py
+++ b/src/amaranthslip/router.py
@@ -280,7 +280,7 @@
 
     def _list_initial_messages(self, name: str) -> list[object]:
         """Return the messages to send first on a new connection to a peer."""
-        restate_request = self._dispatcher.build_question()
+        restate_request = self._dispatcher.build_restate()
         return [
             restate_request,
             *self._scheduler.restate(name),
--- a/src/amaranthslip/shares/candidates.py
+++ b/src/amaranthslip/shares/candidates.py
@@ -117,5 +117,5 @@
     return heapq.nlargest(
         count,
         ready,
-        key=lambda each: identity.rank(key, each.server.name),
+        key=lambda each: identity.rendezvous_hash(key, each.server.name),
     )
--- a/src/amaranthslip/shares/demand.py
+++ b/src/amaranthslip/shares/demand.py
@@ -15,7 +15,7 @@
 # accounts, and it changes little in a twentieth of a second.
 _LEVEL_CACHE_SECONDS = 0.05
 # Weight of a generated token; a prompt token that must be read weighs 1.
-GENERATED_WEIGHT = 2.0
+GENERATED_TOKEN_WEIGHT = 2.0
 # Minimum capacity that is divided among accounts, as a fraction of the
 # operator's token rate. After a loss of all engines nothing was granted in the
 # window; without a minimum, the first requests would find every account over
@@ -116,7 +116,7 @@
         self._fleet_level_until = float('-inf')
         self._fleet_totals: dict[str, _FleetTotals] = {}
 
-    def note_asked(self, account: str, tokens: float) -> None:
+    def note_requested(self, account: str, tokens: float) -> None:
         """Count the tokens of a request received here, served or not."""
         self.local_totals.setdefault(account, TokenTotals()).asked += tokens
         self._find_bucket(account)[1] += tokens
--- a/src/amaranthslip/shares/reports.py
+++ b/src/amaranthslip/shares/demand_reports.py
@@ -9,8 +9,8 @@
 
 from amaranthslip import identity
 from amaranthslip.members import roster as roster_module
-from amaranthslip.shares import activity
 from amaranthslip.shares import demand as demand_module
+from amaranthslip.shares import load_messages
 
 _LOG = logging.getLogger(__name__)
 
@@ -67,7 +67,9 @@
         self._account_names: dict[int, str] = {}
         self._configuration_generation = -1
         # By sender and account: the last reported totals.
-        self._last_reports: dict[str, dict[int, activity.AccountDemand]] = {}
+        self._last_reports: dict[
+            str, dict[int, load_messages.AccountDemand]
+        ] = {}
         self._last_sent: dict[str, tuple[float, float]] = {}
         self._exits = contextlib.ExitStack()
 
@@ -79,7 +81,7 @@
         """Stop the periodic reports."""
         self._exits.close()
 
-    def greet(self, name: str) -> None:
+    def forget_peer(self, name: str) -> None:
         """Forget an instance's totals; its next report is the new base."""
         self._last_reports.pop(name, None)
 
@@ -100,7 +102,8 @@
         own_name = self._roster.member.name
         names = [each.name for each in self._roster.live()] or [own_name]
         return max(
-            names, key=lambda name: identity.rank(_RENDEZVOUS_KEY, name)
+            names,
+            key=lambda name: identity.rendezvous_hash(_RENDEZVOUS_KEY, name),
         )
 
     def report(self) -> None:
@@ -117,15 +120,15 @@
                 continue
             self._last_sent[name] = values
             changed.append(
-                activity.AccountDemand(
-                    account=identity.identify(name),
+                load_messages.AccountDemand(
+                    account=identity.hash_name(name),
                     asked=totals.asked,
                     granted=totals.granted,
                 )
             )
         if changed:
             self._outbox.send(
-                aggregator, activity.DemandReport(accounts=changed)
+                aggregator, load_messages.DemandReport(accounts=changed)
             )
 
     def receive(self, sender: str, message: object) -> None:
@@ -137,7 +140,7 @@
         _LOG.debug('message_unknown', extra={'kind': type(message).__name__})
 
     @_handle.register
-    def _(self, message: activity.DemandReport, sender: str) -> None:
+    def _(self, message: load_messages.DemandReport, sender: str) -> None:
         self._refresh_account_names()
         previous = self._last_reports.setdefault(sender, {})
         for new in message.accounts:
@@ -153,7 +156,9 @@
             )
         self._answer(sender, message)
 
-    def _answer(self, sender: str, message: activity.DemandReport) -> None:
+    def _answer(
+        self, sender: str, message: load_messages.DemandReport
+    ) -> None:
         level = self._demand.read_level(self._holder.document.token_rate)
         accounts = []
         for each in message.accounts:
@@ -161,7 +166,7 @@
                 self._account_names.get(each.account, '')
             )
             accounts.append(
-                activity.AccountDemand(
+                load_messages.AccountDemand(
                     account=each.account,
                     asked=totals.asked,
                     granted=totals.granted,
@@ -169,11 +174,11 @@
             )
         finite = level if level < float('inf') else 0.0
         self._outbox.send(
-            sender, activity.DemandLevel(level=finite, accounts=accounts)
+            sender, load_messages.DemandLevel(level=finite, accounts=accounts)
         )
 
     @_handle.register
-    def _(self, message: activity.DemandLevel, sender: str) -> None:
+    def _(self, message: load_messages.DemandLevel, sender: str) -> None:
         self._refresh_account_names()
         totals = {
             self._account_names[each.account]: demand_module.TokenTotals(
@@ -192,5 +197,5 @@
         self._configuration_generation = self._holder.generation
         accounts = self._holder.document.client_accounts
         self._account_names = {
-            identity.identify(name): name for name in accounts
+            identity.hash_name(name): name for name in accounts
         }
--- a/src/amaranthslip/shares/reporting.py
+++ b/src/amaranthslip/shares/dispatch_reports.py
@@ -1,4 +1,4 @@
-"""Reporting: how an entry reports its queues to the dispatchers.
+"""Reports of an entry: how it reports its queues to the dispatchers.
 
 Dispatchers grant slots on the reported counts, so that reports are as few as
 possible while those counts stay good enough.
@@ -10,9 +10,9 @@
 from amaranthslip.capacity import prefixes
 from amaranthslip import settings as settings_module
 from amaranthslip.shares import leases
-from amaranthslip.shares import lines
 from amaranthslip.shares import messages
 from amaranthslip.shares import ownership
+from amaranthslip.shares import queues
 
 # Maximum number of a queue's requests that are reported to one dispatcher; a
 # longer queue is reported again when the dispatcher has granted most of them.
@@ -31,14 +31,14 @@
 _DIGEST_VALID_SECONDS = 3.0
 
 
-class Reporting:
+class DispatchReports:
     """Reports an entry's waiting, running and delivered work to dispatchers.
 
     Parameters
     ----------
     settings : Settings
         Uses `dispatch`.
-    owned : Ownership
+    owners : Ownership
         Client accounts' home dispatchers and servers' owners.
     holder : Holder
         The configuration in force.
@@ -60,7 +60,7 @@
         '_last_grants',
         '_unconfirmed_since',
         '_digests',
-        '_changed_lines',
+        '_changed_queues',
         '_mean_share',
         '_last_flush_at',
     )
@@ -68,7 +68,7 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        owned: ownership.Ownership,
+        owners: ownership.Ownership,
         holder: typing.Any,
         outbox: typing.Any,
         known: prefixes.Prefixes | None,
@@ -76,7 +76,7 @@
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
         self._settings = settings
-        self._ownership = owned
+        self._ownership = owners
         self._holder = holder
         self._outbox = outbox
         self._prefixes = known
@@ -84,7 +84,7 @@
         self._last_grants: dict[str, int] = {}
         self._unconfirmed_since: dict[str, float] = {}
         self._digests: dict[tuple[str, str], tuple[int, float]] = {}
-        self._changed_lines: set[lines.Line] = set()
+        self._changed_queues: set[queues.AccountQueue] = set()
         self._mean_share = 1.0
         self._last_flush_at = clock()
 
@@ -98,12 +98,12 @@
         key = (digest.service, sender)
         self._digests[key] = (digest.free, self._clock())
 
-    def note_charge(self, line: lines.Line, tokens: float) -> None:
-        """Count delivered tokens; `tell_dirty` reports them to the homes."""
-        line.total += tokens
-        self._changed_lines.add(line)
+    def note_charge(self, queue: queues.AccountQueue, tokens: float) -> None:
+        """Count tokens; `report_delivered` reports them to the homes."""
+        queue.total += tokens
+        self._changed_queues.add(queue)
 
-    def forget(self, dispatcher: str) -> None:
+    def forget_grants(self, dispatcher: str) -> None:
         """Forget the grants of a dispatcher that restarted."""
         self._last_grants.pop(dispatcher, None)
         self._unconfirmed_since.pop(dispatcher, None)
@@ -114,56 +114,60 @@
         total = sum(account.share for account in accounts.values())
         self._mean_share = total / len(accounts) if accounts else 1.0
 
-    def confirm_late(self) -> None:
+    def confirm_pending_grants(self) -> None:
         """Confirm grants that no other message confirmed in time."""
         now = self._clock()
         for dispatcher, since in list(self._unconfirmed_since.items()):
             if now - since >= _CONFIRM_DELAY_SECONDS:
-                confirm = messages.Confirm(seen=self.take_seen(dispatcher))
+                confirm = messages.Confirm(
+                    seen=self.confirm_last_grant(dispatcher)
+                )
                 self._outbox.send(dispatcher, confirm)
 
-    def restate_line(self, line: lines.Line, dispatcher: str) -> list[object]:
+    def restate_queue(
+        self, queue: queues.AccountQueue, dispatcher: str
+    ) -> list[object]:
         """Return the messages that restore a dispatcher's data on a queue."""
-        known = line.told.get(dispatcher)
+        known = queue.reported.get(dispatcher)
         if known is None:
             return []
-        known.count = min(len(line.waiters), _MAX_REPORTED_REQUESTS)
-        told = [
-            self.build_want(line, dispatcher, known.count),
-            self.build_charge(line, dispatcher, line.total),
+        known.count = min(len(queue.waiters), _MAX_REPORTED_REQUESTS)
+        restated = [
+            self.build_want(queue, dispatcher, known.count),
+            self.build_charge(queue, dispatcher, queue.total),
         ]
-        known.total = line.total
-        known.running = line.running
-        return told
+        known.total = queue.total
+        known.running = queue.running
+        return restated
 
-    def tell_wants(self, line: lines.Line) -> None:
+    def report_waiting(self, queue: queues.AccountQueue) -> None:
         """Report a queue's waiting requests where the count is outdated."""
-        selected = self._select_dispatchers(line)
-        waiting = len(line.waiters)
-        for dispatcher in line.told.keys() - set(selected):
-            if line.told[dispatcher].count:
-                self._send_want(line, dispatcher, 0)
+        selected = self._select_dispatchers(queue)
+        waiting = len(queue.waiters)
+        for dispatcher in queue.reported.keys() - set(selected):
+            if queue.reported[dispatcher].count:
+                self._send_want(queue, dispatcher, 0)
         for dispatcher in selected:
-            told = line.find_told(dispatcher)
+            reported = queue.get_reported(dispatcher)
             target = min(waiting, _MAX_REPORTED_REQUESTS)
-            short = told.count < min(waiting, _MIN_REPORTED_REQUESTS)
-            low = told.count < target and told.count <= target // 4
+            short = reported.count < min(waiting, _MIN_REPORTED_REQUESTS)
+            low = reported.count < target and reported.count <= target // 4
             # A count that is slightly high costs an unused slot now and then.
             # One message per request and home would cost more.
-            high = told.count > _OVERCOUNT_FACTOR * waiting
+            high = reported.count > _OVERCOUNT_FACTOR * waiting
             if high or short or low:
-                self._send_want(line, dispatcher, target)
+                self._send_want(queue, dispatcher, target)
 
     def _send_want(
-        self, line: lines.Line, dispatcher: str, count: int
+        self, queue: queues.AccountQueue, dispatcher: str, count: int
     ) -> None:
         if self._outbox.send(
-            dispatcher, self.build_want(line, dispatcher, count)
+            dispatcher, self.build_want(queue, dispatcher, count)
         ):
-            line.told[dispatcher].count = count
-            line.told[dispatcher].running = line.running
+            queue.reported[dispatcher].count = count
+            queue.reported[dispatcher].running = queue.running
 
-    def _select_dispatchers(self, line: lines.Line) -> list[str]:
+    def _select_dispatchers(self, queue: queues.AccountQueue) -> list[str]:
         """Return the dispatchers that should get a queue's requests.
 
         A single recent request is reported to one home, several requests or
@@ -171,46 +175,52 @@
         dispatchers with free slots, so that no slot is idle because too few
         accounts have their homes at its dispatcher.
         """
-        homes = self._ownership.homes(line.service, line.client_account)
-        if not line.waiters or not homes:
-            line.extras.clear()
+        homes = self._ownership.list_homes(queue.service, queue.client_account)
+        if not queue.waiters or not homes:
+            queue.extra_dispatchers.clear()
             return list(homes)
-        age = line.age()
+        age = queue.age()
         widen = self._settings.dispatch.widen_seconds
-        if len(line.waiters) == 1 and age < widen:
-            told = [
+        if len(queue.waiters) == 1 and age < widen:
+            reported = [
                 dispatcher
                 for dispatcher in homes
-                if self._has_reported_requests(line, dispatcher)
+                if self._has_reported_requests(queue, dispatcher)
             ]
-            return told or [self._pick_single_home(line, homes)]
+            return reported or [self._pick_single_home(queue, homes)]
         if age >= widen:
-            line.extras.update(self._list_free_dispatchers(line.service))
-        owners = self._ownership.list_owners(line.service)
-        return list(dict.fromkeys([*homes, *(line.extras & owners)]))
+            queue.extra_dispatchers.update(
+                self._list_free_dispatchers(queue.service)
+            )
+        owners = self._ownership.list_owners(queue.service)
+        return list(
+            dict.fromkeys([*homes, *(queue.extra_dispatchers & owners)])
+        )
 
     def _has_reported_requests(
-        self, line: lines.Line, dispatcher: str
+        self, queue: queues.AccountQueue, dispatcher: str
     ) -> bool:
-        told = line.told.get(dispatcher)
-        return told is not None and told.count > 0
+        reported = queue.reported.get(dispatcher)
+        return reported is not None and reported.count > 0
 
     def _pick_single_home(
-        self, line: lines.Line, homes: typing.Sequence[str]
+        self, queue: queues.AccountQueue, homes: typing.Sequence[str]
     ) -> str:
-        preferred = self._ownership.owner(self._find_preferred_server(line))
+        preferred = self._ownership.find_owner(
+            self._find_preferred_server(queue)
+        )
         if preferred in homes:
             return preferred
-        free = set(self._list_free_dispatchers(line.service))
+        free = set(self._list_free_dispatchers(queue.service))
         return next(
             (dispatcher for dispatcher in homes if dispatcher in free),
             homes[0],
         )
 
-    def _find_preferred_server(self, line: lines.Line) -> str:
-        if self._prefixes is None or not line.waiters:
+    def _find_preferred_server(self, queue: queues.AccountQueue) -> str:
+        if self._prefixes is None or not queue.waiters:
             return ''
-        return self._prefixes.find(line.waiters[0].ticket.prefix_hashes)
+        return self._prefixes.find(queue.waiters[0].ticket.prefix_hashes)
 
     def _list_free_dispatchers(self, service: str) -> list[str]:
         since = self._clock() - _DIGEST_VALID_SECONDS
@@ -220,7 +230,9 @@
             if served == service and free and at >= since
         ]
 
-    def _send_charges(self, line: lines.Line, threshold: float) -> bool:
+    def _send_charges(
+        self, queue: queues.AccountQueue, threshold: float
+    ) -> bool:
         """Report delivered tokens to the homes that lack a threshold of them.
 
         Returns
@@ -231,16 +243,16 @@
         if self._ownership.is_local:
             threshold = 1.0
         unreported = False
-        for dispatcher in self._ownership.homes(
-            line.service, line.client_account
+        for dispatcher in self._ownership.list_homes(
+            queue.service, queue.client_account
         ):
-            told = line.find_told(dispatcher)
-            if line.total - told.total >= threshold:
-                self._send_charge(line, dispatcher)
-            unreported = unreported or line.total > told.total
+            reported = queue.get_reported(dispatcher)
+            if queue.total - reported.total >= threshold:
+                self._send_charge(queue, dispatcher)
+            unreported = unreported or queue.total > reported.total
         return unreported
 
-    def tell_dirty(self, now: float) -> None:
+    def report_delivered(self, now: float) -> None:
         """Report tokens delivered since the last tick, above a threshold.
 
         An account without waiting requests here does not compete for slots
@@ -249,82 +261,84 @@
         flush = now - self._last_flush_at >= _FLUSH_INTERVAL_SECONDS
         if flush:
             self._last_flush_at = now
-        changed, self._changed_lines = self._changed_lines, set()
-        for line in changed:
-            threshold_tokens = self._compute_charge_threshold(line)
-            if not line.waiters:
+        changed, self._changed_queues = self._changed_queues, set()
+        for queue in changed:
+            threshold_tokens = self._compute_charge_threshold(queue)
+            if not queue.waiters:
                 threshold_tokens *= _IDLE_FACTOR
             elif flush:
                 threshold_tokens *= _FLUSH_FACTOR
-            self.tell_running(line)
-            if self._send_charges(line, threshold_tokens):
-                self._changed_lines.add(line)
+            self.report_running(queue)
+            if self._send_charges(queue, threshold_tokens):
+                self._changed_queues.add(queue)
 
-    def _compute_charge_threshold(self, line: lines.Line) -> float:
+    def _compute_charge_threshold(self, queue: queues.AccountQueue) -> float:
         """Return the threshold of unreported tokens.
 
         It is lower for small shares, as an account's score counts its tokens
         divided by its share.
         """
         accounts = self._holder.document.client_accounts
-        account = accounts.get(line.client_account)
+        account = accounts.get(queue.client_account)
         relative_share = account.share / self._mean_share if account else 1.0
         return self._settings.dispatch.charge_tokens * min(1.0, relative_share)
 
-    def tell_running(self, line: lines.Line) -> None:
+    def report_running(self, queue: queues.AccountQueue) -> None:
         """Report running requests to homes whose count is too far off.
 
         The error is measured in tokens: one large request matters to the
         account's score, one small request does not.
         """
         commit = self._settings.dispatch.commit_tokens
-        each = min(line.estimate, commit)
-        tolerance = max(commit, each * line.running) * _RUNNING_TOLERANCE
-        for dispatcher in self._ownership.homes(
-            line.service, line.client_account
+        each = min(queue.estimate, commit)
+        tolerance = max(commit, each * queue.running) * _RUNNING_TOLERANCE
+        for dispatcher in self._ownership.list_homes(
+            queue.service, queue.client_account
         ):
-            told = line.told.get(dispatcher)
-            if told is None:
+            reported = queue.reported.get(dispatcher)
+            if reported is None:
                 continue
-            if abs(line.running - told.running) * each >= tolerance:
-                self._send_charge(line, dispatcher)
+            if abs(queue.running - reported.running) * each >= tolerance:
+                self._send_charge(queue, dispatcher)
 
-    def _send_charge(self, line: lines.Line, dispatcher: str) -> None:
-        told = line.told[dispatcher]
+    def _send_charge(
+        self, queue: queues.AccountQueue, dispatcher: str
+    ) -> None:
+        reported = queue.reported[dispatcher]
         if self._outbox.send(
-            dispatcher, self.build_charge(line, dispatcher, told.total)
+            dispatcher, self.build_charge(queue, dispatcher, reported.total)
         ):
-            told.total = line.total
-            told.running = line.running
+            reported.total = queue.total
+            reported.running = queue.running
 
     def build_want(
-        self, line: lines.Line, dispatcher: str, count: int
+        self, queue: queues.AccountQueue, dispatcher: str, count: int
     ) -> messages.Want:
         """Return the message on a queue's waiting requests."""
         return messages.Want(
-            service=line.service,
-            client_account=line.client_account,
+            service=queue.service,
+            client_account=queue.client_account,
             count=count,
-            age=line.age(),
-            hint=line.hint,
-            seen=self.take_seen(dispatcher),
-            estimate=line.estimate,
-            prefer=self._find_preferred_server(line),
-            running=line.running,
+            age=queue.age(),
+            hint=queue.hint,
+            seen=self.confirm_last_grant(dispatcher),
+            estimate=queue.estimate,
+            prefer=self._find_preferred_server(queue),
+            running=queue.running,
         )
 
     def build_charge(
-        self, line: lines.Line, dispatcher: str, base: float
+        self, queue: queues.AccountQueue, dispatcher: str, base: float
     ) -> messages.Charge:
         """Return the message on a queue's delivered tokens."""
         return messages.Charge(
-            service=line.service,
-            client_account=line.client_account,
-            total=line.total,
+            service=queue.service,
+            client_account=queue.client_account,
+            total=queue.total,
             base=base,
-            hint=line.hint,
-            running=line.running,
-            seen=self.take_seen(dispatcher),
+            hint=queue.hint,
+            running=queue.running,
+            seen=self.confirm_last_grant(dispatcher),
         )
 
     def build_held(self, lease: leases.SlotLease) -> messages.Held:
@@ -337,7 +351,7 @@
             estimate=lease.ticket.estimate,
         )
 
-    def take_seen(self, dispatcher: str) -> int:
+    def confirm_last_grant(self, dispatcher: str) -> int:
         """Return the id of the last grant; sending it confirms the grant."""
         self._unconfirmed_since.pop(dispatcher, None)
         return self._last_grants.get(dispatcher, 0)
--- a/src/amaranthslip/shares/dispatcher.py
+++ b/src/amaranthslip/shares/dispatcher.py
@@ -49,7 +49,7 @@
     ----------
     settings : Settings
         Uses `instance` and `dispatch`.
-    owned : Ownership
+    owners : Ownership
         The owners of backend servers and the homes of client accounts.
     holder : Holder
         The configuration in force.
@@ -91,7 +91,7 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        owned: ownership.Ownership,
+        owners: ownership.Ownership,
         holder: typing.Any,
         health: typing.Any,
         outbox: typing.Any,
@@ -101,7 +101,7 @@
         randomness: random.Random | None = None,
     ) -> None:
         self._settings = settings
-        self._ownership = owned
+        self._ownership = owners
         self._holder = holder
         self._health = health
         self._outbox = outbox
@@ -379,7 +379,7 @@
             estimate=demand.estimate,
             granted=self._clock(),
         )
-        service.take(demand)
+        service.count_grant(demand)
         self._add_holding(holding, confirmed=False)
         service.ledger.grant(holding.client_account, holding.entry, holding.id)
         self._health.begin(holding.server)
@@ -439,11 +439,11 @@
         int
             The number of the `Restate` sent.
         """
-        restate = self.build_question()
+        restate = self.build_restate()
         self._outbox.send(entry, restate)
         return restate.number
 
-    def build_question(self) -> messages.Restate:
+    def build_restate(self) -> messages.Restate:
         """Return the message that asks an entry to resend its state.
 
         It is the first message on each new connection to an entry: grants
@@ -500,7 +500,7 @@
             sender, message.service, account
         )
         service.ledger.get_or_create(account, message.hint)
-        service.ledger.expect(account, message.estimate)
+        service.ledger.set_estimate(account, message.estimate)
         service.ledger.report(
             account, sender, running=message.running, seen=message.seen
         )
@@ -513,9 +513,9 @@
             prefer=message.prefer,
         )
         if became_backlogged:
-            service.ledger.begin(account, message.hint)
+            service.ledger.mark_backlogged(account, message.hint)
         elif not service.backlog.has_waiting(account):
-            service.ledger.end(account)
+            service.ledger.mark_idle(account)
         self._grant_service(service)
 
     @_handle.register
--- a/src/amaranthslip/shares/keepers.py
+++ b/src/amaranthslip/shares/keepers.py
@@ -23,7 +23,7 @@
 from amaranthslip.capacity import reading
 from amaranthslip import identity
 from amaranthslip.members import roster as roster_module
-from amaranthslip.shares import activity
+from amaranthslip.shares import load_messages
 from amaranthslip.shares import placement as placement_module
 from amaranthslip.shares import places
 
@@ -82,13 +82,13 @@
     does.
     """
 
-    __slots__ = ('server', 'unread', 'running', 'held')
+    __slots__ = ('server', 'unread_tokens', 'running', 'held')
 
     def __init__(
         self, place: places.Place, engine: engines_module.Engine
     ) -> None:
         self.server = place.server.name
-        self.unread = place.unread
+        self.unread_tokens = place.unread_tokens
         self.running = engine.running - 1
         self.held = engine.held - place.held
 
@@ -180,13 +180,17 @@
             names = [each.name for each in self._roster.live()] or [
                 self._own_name
             ]
-            keeper = max(names, key=lambda name: identity.rank(server, name))
+            keeper = max(
+                names, key=lambda name: identity.rendezvous_hash(server, name)
+            )
             self._keeper_by_server[server] = keeper
         return keeper
 
     # -- requests of this instance's callers ------------------------------
 
-    def reserve(self, need: places.Need) -> places.Place:
+    def reserve(
+        self, placement_request: places.PlacementRequest
+    ) -> places.Place:
         """Return a place for a request, after asking the server's keeper.
 
         Raises
@@ -194,8 +198,8 @@
         RequestRefused
             No server can serve it in time; it was not run.
         """
-        place = self._placement.select_place(need)
-        if need.prompt is None:
+        place = self._placement.select_place(placement_request)
+        if placement_request.prompt is None:
             return place
         asked_servers: set[str] = set()
         while (
@@ -211,7 +215,7 @@
             place.withdraw()
             self._apply_answer(place, answer)
             try:
-                reselected = self._placement.select_place(need)
+                reselected = self._placement.select_place(placement_request)
             except BaseException:
                 self._send_ended(place)
                 raise
@@ -227,24 +231,24 @@
         if place.ask_number:
             self._outbox.send(
                 self.find_keeper(place.server.name),
-                activity.PlaceStarted(number=place.ask_number),
+                load_messages.PlaceStarted(number=place.ask_number),
             )
 
     def note_end(self, place: places.Place) -> None:
         """Notify the keeper of a request's outcome."""
         self._send_ended(place)
 
-    def _ask(self, place: places.Place) -> activity.PlaceAnswer | None:
+    def _ask(self, place: places.Place) -> load_messages.PlaceAnswer | None:
         keeper = self.find_keeper(place.server.name)
         if keeper == self._roster.member.name:
             return None
         now = self._clock()
         self._last_ask_number += 1
         place.ask_number = self._last_ask_number
-        ask = activity.PlaceAsk(
+        ask = load_messages.PlaceAsk(
             number=place.ask_number,
-            server=identity.identify(place.server.name),
-            unread=place.unread,
+            server=identity.hash_name(place.server.name),
+            unread=place.unread_tokens,
             held=place.held,
         )
         if self._silent_until.get(keeper, 0.0) > now or (
@@ -268,8 +272,8 @@
         return answer
 
     def _await_answer(
-        self, keeper: str, ask: activity.PlaceAsk
-    ) -> activity.PlaceAnswer | None:
+        self, keeper: str, ask: load_messages.PlaceAsk
+    ) -> load_messages.PlaceAnswer | None:
         result = self._pending_answers[ask.number] = event.AsyncResult()
         try:
             if not self._outbox.send(keeper, ask):
@@ -291,7 +295,7 @@
         while len(self._unanswered) > _MAX_UNANSWERED:
             self._unanswered.popitem(last=False)
 
-    def _apply_late_answer(self, answer: activity.PlaceAnswer) -> None:
+    def _apply_late_answer(self, answer: load_messages.PlaceAnswer) -> None:
         """Use the load data of an answer that came too late.
 
         The request of the answer is placed already. But while keepers are
@@ -305,7 +309,7 @@
         if engine is None:
             return
         now = self._clock()
-        backlog = answer.ahead + unanswered.unread
+        backlog = answer.ahead + unanswered.unread_tokens
         if backlog > engine.queue.read_backlog(now):
             # A smaller backlog may only mean that the answer is older than
             # this instance's latest requests.
@@ -313,7 +317,7 @@
         self._update_load(engine, answer, unanswered.running, unanswered.held)
 
     def _apply_answer(
-        self, place: places.Place, answer: activity.PlaceAnswer
+        self, place: places.Place, answer: load_messages.PlaceAnswer
     ) -> None:
         engine = self._engines.get(place.server.name)
         if engine is None:
@@ -324,7 +328,7 @@
     def _update_load(
         self,
         engine: engines_module.Engine,
-        answer: activity.PlaceAnswer,
+        answer: load_messages.PlaceAnswer,
         own_running: int,
         own_held: int,
     ) -> None:
@@ -344,9 +348,9 @@
             return
         self._outbox.send(
             keeper,
-            activity.PlaceEnded(
+            load_messages.PlaceEnded(
                 number=place.ask_number,
-                server=identity.identify(place.server.name),
+                server=identity.hash_name(place.server.name),
                 succeeded=place.succeeded,
                 failed=place.failed,
                 connected=place.connected,
@@ -355,13 +359,13 @@
 
     # -- servers of which this instance is the keeper ---------------------
 
-    def greet(self, name: str) -> None:
+    def forget_peer(self, name: str) -> None:
         """Drop the requests that an instance had before it restarted."""
         for key in [each for each in self._remote_requests if each[0] == name]:
             self._release_remote(key)
 
     def receive(self, sender: str, message: object) -> None:
-        """Handle one message of `shares.activity`."""
+        """Handle one message of `shares.load_messages`."""
         self._handle(message, sender)
 
     @functools.singledispatchmethod
@@ -369,7 +373,7 @@
         _LOG.debug('message_unknown', extra={'kind': type(message).__name__})
 
     @_handle.register
-    def _(self, message: activity.PlaceAsk, sender: str) -> None:
+    def _(self, message: load_messages.PlaceAsk, sender: str) -> None:
         engine = self._find_engine(message.server)
         if engine is None:
             # The server is not listed here yet: without an answer the sender
@@ -379,7 +383,7 @@
         name = engine.server.name
         self._outbox.send(
             sender,
-            activity.PlaceAnswer(
+            load_messages.PlaceAnswer(
                 number=message.number,
                 ahead=engine.queue.read_backlog(now),
                 rate=engine.queue.rate,
@@ -404,7 +408,7 @@
         )
 
     @_handle.register
-    def _(self, message: activity.PlaceAnswer, sender: str) -> None:
+    def _(self, message: load_messages.PlaceAnswer, sender: str) -> None:
         result = self._pending_answers.get(message.number)
         if result is None:
             self._apply_late_answer(message)
@@ -412,13 +416,13 @@
             result.set(message)
 
     @_handle.register
-    def _(self, message: activity.PlaceStarted, sender: str) -> None:
+    def _(self, message: load_messages.PlaceStarted, sender: str) -> None:
         remote = self._remote_requests.get((sender, message.number))
         if remote is not None:
             remote.engine.queue.start(remote.mark, self._clock())
 
     @_handle.register
-    def _(self, message: activity.PlaceEnded, sender: str) -> None:
+    def _(self, message: load_messages.PlaceEnded, sender: str) -> None:
         self._release_remote((sender, message.number))
         engine = self._find_engine(message.server)
         if engine is None:
@@ -432,7 +436,7 @@
             )
 
     @_handle.register
-    def _(self, message: activity.ServerEjected, sender: str) -> None:
+    def _(self, message: load_messages.ServerEjected, sender: str) -> None:
         engine = self._find_engine(message.server)
         if engine is not None:
             self._outliers.hear(
@@ -450,8 +454,8 @@
         )
         if not seconds or self.find_keeper(server) != self._own_name:
             return
-        ejection = activity.ServerEjected(
-            server=identity.identify(server), seconds=seconds
+        ejection = load_messages.ServerEjected(
+            server=identity.hash_name(server), seconds=seconds
         )
         for member in self._roster.live():
             if member.name != self._own_name:
@@ -461,7 +465,7 @@
     def _own_name(self) -> str:
         return self._roster.member.name
 
-    def purge(self) -> None:
+    def drop_expired(self) -> None:
         """Drop requests whose end was lost; called periodically."""
         before = self._clock() - _REMOTE_REQUEST_TTL_SECONDS
         for key, remote in list(self._remote_requests.items()):
@@ -490,7 +494,7 @@
         if engine is not None:
             return engine
         self._server_names = {
-            identity.identify(each.server.name): each.server.name
+            identity.hash_name(each.server.name): each.server.name
             for each in self._engines.list_all()
         }
         name = self._server_names.get(number)
--- a/src/amaranthslip/shares/leases.py
+++ b/src/amaranthslip/shares/leases.py
@@ -6,13 +6,13 @@
 from amaranthslip.configuration import document
 from amaranthslip.requests import outcomes
 from amaranthslip.requests import tickets
-from amaranthslip.shares import lines
+from amaranthslip.shares import queues
 
 
 class LeaseManager(typing.Protocol):
     """Receives the delivered tokens and the end of a lease."""
 
-    def charge(self, line: lines.Line, tokens: float) -> None:
+    def charge(self, queue: queues.AccountQueue, tokens: float) -> None:
         """Count delivered tokens."""
 
     def finish(self, lease: 'SlotLease', outcome: outcomes.Outcome) -> None:
@@ -30,7 +30,7 @@
         'ticket',
         'backend_server',
         'holder',
-        'line',
+        'queue',
         '_manager',
         '_first_at',
         '_last_at',
@@ -40,7 +40,7 @@
     def __init__(
         self,
         manager: LeaseManager,
-        line: lines.Line,
+        queue: queues.AccountQueue,
         ticket: tickets.Ticket,
         backend_server: document.BackendServer,
         *,
@@ -52,7 +52,7 @@
         self.backend_server = backend_server
         self.holder = holder
         self._manager = manager
-        self.line = line
+        self.queue = queue
         self._first_at = 0.0
         self._last_at = 0.0
         self._tokens = 0.0
@@ -65,7 +65,7 @@
         else:
             self._first_at = now
         self._last_at = now
-        self._manager.charge(self.line, tokens)
+        self._manager.charge(self.queue, tokens)
 
     def finish(self, outcome: outcomes.Outcome) -> None:
         """Return the slot; only the first call has an effect."""
@@ -74,12 +74,12 @@
     @property
     def service(self) -> str:
         """The service that the slot belongs to."""
-        return self.line.service
+        return self.queue.service
 
     @property
     def client_account(self) -> str:
         """The client account that the slot was granted for."""
-        return self.line.client_account
+        return self.queue.client_account
 
     @property
     def pace(self) -> float:
--- a/src/amaranthslip/shares/ledger.py
+++ b/src/amaranthslip/shares/ledger.py
@@ -143,7 +143,7 @@
             record.score = max(record.score, hint)
         return record
 
-    def expect(self, client_account: str, estimate: float) -> None:
+    def set_estimate(self, client_account: str, estimate: float) -> None:
         """Set the expected cost of one request of the account, in tokens."""
         # An entry without any request so far reports zero. Stored as the
         # estimate, zero would exclude slots in use from the score, and the
@@ -151,7 +151,7 @@
         if estimate > 0:
             self.get_or_create(client_account, 0.0).estimate = estimate
 
-    def begin(self, client_account: str, hint: float) -> None:
+    def mark_backlogged(self, client_account: str, hint: float) -> None:
         """Mark an account as backlogged.
 
         After an idle time its score is raised to the lowest score among the
@@ -164,7 +164,7 @@
         if self._clock() - idle_since >= IDLE_GRACE_SECONDS:
             record.score = max(record.score, self.level)
 
-    def end(self, client_account: str) -> None:
+    def mark_idle(self, client_account: str) -> None:
         """Mark an account as no longer backlogged at this dispatcher."""
         record = self._records.get(client_account)
         if record is not None and record.idle_since is None:
--- a/src/amaranthslip/shares/ownership.py
+++ b/src/amaranthslip/shares/ownership.py
@@ -53,7 +53,9 @@
     policy: object, server: document.BackendServer, names: tuple[str, ...]
 ) -> str:
     """Return the owner of a backend server among the named candidates."""
-    return max(names, key=lambda name: identity.rank(server.name, name))
+    return max(
+        names, key=lambda name: identity.rendezvous_hash(server.name, name)
+    )
 
 
 @pick_owner.register
@@ -62,7 +64,9 @@
     server: document.BackendServer,
     names: tuple[str, ...],
 ) -> str:
-    return max(names, key=lambda name: identity.rank(server.service, name))
+    return max(
+        names, key=lambda name: identity.rendezvous_hash(server.service, name)
+    )
 
 
 @pick_owner.register
@@ -75,7 +79,7 @@
 
 
 @functools.singledispatch
-def divide(policy: object, live: int, lost: int) -> float:
+def compute_slot_fraction(policy: object, live: int, lost: int) -> float:
     """Return the guaranteed part of each server's slots.
 
     With all members reachable this is 1. During a partition it is the
@@ -94,7 +98,7 @@
     return live / (live + lost)
 
 
-@divide.register
+@compute_slot_fraction.register
 def _(policy: LocalPolicy, live: int, lost: int) -> float:
     return 1.0 / (live + lost)
 
@@ -211,7 +215,7 @@
             )
         self._owners = owners
 
-    def owner(self, server: str) -> str | None:
+    def find_owner(self, server: str) -> str | None:
         """Return the name of the instance that owns a backend server."""
         self.refresh()
         return self._owners.get(server)
@@ -236,7 +240,7 @@
             if server.service == service
         }
 
-    def homes(self, service: str, client_account: str) -> tuple[str, ...]:
+    def list_homes(self, service: str, client_account: str) -> tuple[str, ...]:
         """Return the dispatchers that schedule a client account, in order.
 
         The homes are the owners of the servers that rank highest for the
@@ -259,7 +263,7 @@
         key = (service, client_account)
         phase = self._phases.get(key)
         if phase is None:
-            homes = self.homes(service, client_account)
+            homes = self.list_homes(service, client_account)
             phase = 1.0
             if self.name in homes:
                 phase = (homes.index(self.name) + 0.5) / len(homes)
@@ -284,7 +288,7 @@
         self.refresh()
         since = self._clock() - _LOST_SECONDS
         lost = sum(1 for at in self._lost_at.values() if at >= since)
-        return divide(self._policy, len(self._alive), lost)
+        return compute_slot_fraction(self._policy, len(self._alive), lost)
 
     def _pick_homes(
         self, service: str, client_account: str
@@ -292,7 +296,7 @@
         servers = self._holder.document.backend_servers.values()
         ranked = sorted(
             (server.name for server in servers if server.service == service),
-            key=lambda name: identity.rank(client_account, name),
+            key=lambda name: identity.rendezvous_hash(client_account, name),
             reverse=True,
         )
         owners = dict.fromkeys(self._owners[name] for name in ranked)
--- a/src/amaranthslip/shares/placement.py
+++ b/src/amaranthslip/shares/placement.py
@@ -138,7 +138,9 @@
         """Return the monotonic time in seconds."""
         return self._clock()
 
-    def select_place(self, need: places.Need) -> places.Place:
+    def select_place(
+        self, placement_request: places.PlacementRequest
+    ) -> places.Place:
         """Return a place for a request at the server of the lowest cost.
 
         Raises
@@ -146,13 +148,13 @@
         RequestRefused
             No server can serve it in time; it was not run.
         """
-        scored = self._score_candidates(need)
+        scored = self._score_candidates(placement_request)
         if not scored:
-            raise self._build_unavailable_refusal(need)
+            raise self._build_unavailable_refusal(placement_request)
         best = min(scored, key=lambda each: each.cost)
-        self._admit(need, best)
+        self._admit(placement_request, best)
         self.outliers.begin(best.engine.server.name)
-        return places.Place(self, need, best, self._clock())
+        return places.Place(self, placement_request, best, self._clock())
 
     def note_end(self, place: places.Place) -> None:
         """Record the outcome of a request for its server's health."""
@@ -166,43 +168,53 @@
         self.listener.note_end(place)
 
     def _score_candidates(
-        self, need: places.Need
+        self, placement_request: places.PlacementRequest
     ) -> list[places.ScoredCandidate]:
-        key = need.prompt.shared_key if need.prompt else ''
+        key = (
+            placement_request.prompt.shared_key
+            if placement_request.prompt
+            else ''
+        )
         now = self._clock()
-        picked = self._candidates.pick(need.service, key)
-        usable = self._filter_usable(need, picked, now)
+        picked = self._candidates.pick(placement_request.service, key)
+        usable = self._filter_usable(placement_request, picked, now)
         if not usable:
-            every = self._candidates.list_all(need.service, key)
-            usable = self._filter_usable(need, every, now)
+            every = self._candidates.list_all(placement_request.service, key)
+            usable = self._filter_usable(placement_request, every, now)
             # While all servers are ejected, using one is better than refusing
             # every request.
             usable = usable or [
-                each for each in every if self._is_eligible(need, each.engine)
+                each
+                for each in every
+                if self._is_eligible(placement_request, each.engine)
             ]
         with_room = [each for each in usable if each.engine.full_until <= now]
         usable = with_room or usable
-        if need.prompt is None:
+        if placement_request.prompt is None:
             return [self._score_plain(each.engine) for each in usable]
-        return self._score_prompt(need, need.prompt, usable, now)
+        return self._score_prompt(
+            placement_request, placement_request.prompt, usable, now
+        )
 
     def _filter_usable(
         self,
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         picked: list[candidates.Candidate],
         now: float,
     ) -> list[candidates.Candidate]:
         return [
             each
             for each in picked
-            if self._is_eligible(need, each.engine)
+            if self._is_eligible(placement_request, each.engine)
             and self.outliers.admits(each.engine.server.name)
         ]
 
     def _is_eligible(
-        self, need: places.Need, engine: engines_module.Engine
+        self,
+        placement_request: places.PlacementRequest,
+        engine: engines_module.Engine,
     ) -> bool:
-        if engine.server.name in need.excluded:
+        if engine.server.name in placement_request.excluded_servers:
             return False
         return not self.engines.read_backoff(engine)
 
@@ -215,12 +227,12 @@
 
     def _score_prompt(
         self,
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         prompt: prompts.Prompt,
         usable: list[candidates.Candidate],
         now: float,
     ) -> list[places.ScoredCandidate]:
-        service = self._holder.document.services.get(need.service)
+        service = self._holder.document.services.get(placement_request.service)
         memory = service.cache_tokens if service else 0
         # Positions count usable servers only: while the first servers of the
         # order are ejected, the next usable one counts as the first.
@@ -244,11 +256,11 @@
         now: float,
     ) -> places.ScoredCandidate:
         cached = self._count_cached(engine, prompt, position, memory)
-        unread = max(1.0, prompt.prompt_tokens - cached)
+        unread_tokens = max(1.0, prompt.prompt_tokens - cached)
         running = engine.all_running
-        wait = engine.queue.expect(unread, now, running)
+        wait = engine.queue.expect(unread_tokens, now, running)
         wait += self.engines.read_slot_wait(engine, running)
-        shared = max(0.0, unread - prompt.own_tokens)
+        shared = max(0.0, unread_tokens - prompt.own_tokens)
         cost = (
             wait
             + _REREAD_COST_SECONDS * shared
@@ -259,7 +271,7 @@
             # A cost and no limit: a prompt may need more memory than is ever
             # free.
             cost += (held - _MEMORY_FRACTION * memory) / engine.queue.rate
-        return places.ScoredCandidate(engine, unread, wait, cost)
+        return places.ScoredCandidate(engine, unread_tokens, wait, cost)
 
     def _count_cached(
         self,
@@ -286,63 +298,76 @@
             distance += _REMOTE_COST_SECONDS
         return distance
 
-    def _admit(self, need: places.Need, best: places.ScoredCandidate) -> None:
-        if need.prompt is None:
+    def _admit(
+        self,
+        placement_request: places.PlacementRequest,
+        best: places.ScoredCandidate,
+    ) -> None:
+        if placement_request.prompt is None:
             return
-        if need.granted and best.wait_seconds < need.deadline - self._clock():
+        if (
+            placement_request.placed_before
+            and best.wait_seconds < placement_request.deadline - self._clock()
+        ):
             # The engine that had this request failed, perhaps in the middle
             # of the stream. A refusal would lose the events that were sent
             # and the work on the prompt; waiting can only make it late.
             return
-        estimate = self._build_estimate(need, need.prompt, best)
-        need.estimate = estimate
+        estimate = self._build_estimate(
+            placement_request, placement_request.prompt, best
+        )
+        placement_request.estimate = estimate
         if estimate.excess_seconds <= 0 or self._is_idle(best):
             return
         if estimate.over_share:
             raise self._build_refusal(
-                need,
+                placement_request,
                 'over_share',
-                f'the client account {need.account} has used'
+                'the client account'
+                f' {placement_request.client_account} has used'
                 f' {estimate.share_use:.2f} of its fair share, and the first'
                 f' event is expected after {best.wait_seconds:.2f} s',
                 status=429,
                 after=estimate.excess_seconds,
             )
         raise self._build_refusal(
-            need,
+            placement_request,
             'overload',
             f'the first event is expected after {best.wait_seconds:.2f} s at'
             f' the best backend server, {best.engine.server.name}; the client'
-            f' account {need.account} has used {estimate.share_use:.2f} of its'
-            ' fair share',
+            f' account {placement_request.client_account} has used'
+            f' {estimate.share_use:.2f} of its fair share',
             after=estimate.excess_seconds,
         )
 
     def _build_estimate(
         self,
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         prompt: prompts.Prompt,
         best: places.ScoredCandidate,
-    ) -> places.Estimate:
+    ) -> places.WaitEstimate:
         """Return a request's expected and allowed time to first event."""
         ratios = demand_module.ShareRatios()
-        if need.account:
+        if placement_request.client_account:
             rate = self._holder.document.token_rate
-            ratios = self.demand.read_share_ratios(need.account, rate)
-        own_tokens = min(float(prompt.own_tokens), best.unread)
-        if need.estimate is None:
+            ratios = self.demand.read_share_ratios(
+                placement_request.client_account, rate
+            )
+        own_tokens = min(float(prompt.own_tokens), best.unread_tokens)
+        if placement_request.estimate is None:
             # Counted once per prompt: `reserve` selects a second time after a
             # keeper's answer.
-            self._averages.record(need.route.name, own_tokens)
+            self._averages.record(placement_request.route.name, own_tokens)
         above_mean = self._count_tokens_above_mean(
-            need.route, own_tokens, ratios
+            placement_request.route, own_tokens, ratios
         )
-        return places.Estimate(
+        return places.WaitEstimate(
             best,
             judged_seconds=best.wait_seconds
             - above_mean / best.engine.queue.rate,
             allowed_seconds=(
-                _compute_wait_fraction(ratios) * need.route.objective_seconds
+                _compute_wait_fraction(ratios)
+                * placement_request.route.objective_seconds
             ),
             share_use=ratios.granted_ratio,
         )
@@ -387,18 +412,20 @@
         return engine.queue.read_backlog(self._clock()) <= 0
 
     def _build_unavailable_refusal(
-        self, need: places.Need
+        self, placement_request: places.PlacementRequest
     ) -> errors.RequestRefused:
-        ready = self.engines.list_ready(need.service)
+        ready = self.engines.list_ready(placement_request.service)
         # Includes servers that are excluded for this request only: a retry
         # by the caller may use them.
         seconds = min(map(self.engines.read_backoff, ready), default=0.0)
         if not seconds:
             return self._build_refusal(
-                need, 'no_backend_server', 'no backend server is available'
+                placement_request,
+                'no_backend_server',
+                'no backend server is available',
             )
         return self._build_refusal(
-            need,
+            placement_request,
             'backoff',
             'all backend servers of the service are in backoff for at least'
             f' another {seconds:.1f} s',
@@ -407,14 +434,14 @@
 
     def _build_refusal(
         self,
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         reason: str,
         text: str,
         *,
         status: int = 503,
         after: float = 0.0,
     ) -> errors.RequestRefused:
-        left = max(0.0, need.deadline - self._clock())
+        left = max(0.0, placement_request.deadline - self._clock())
         wait = max(_MIN_RETRY_SECONDS, after)
         wait *= self._random.uniform(1.0, 1.3)
         return errors.RequestRefused(
--- a/src/amaranthslip/shares/places.py
+++ b/src/amaranthslip/shares/places.py
@@ -9,13 +9,13 @@
 from amaranthslip.shares import demand as demand_module
 
 
-class Estimate:
+class WaitEstimate:
     """The expected and allowed time to the first event of a request.
 
     Parameters
     ----------
     candidate : ScoredCandidate
-        The selected server. Its `unread` are the prompt tokens that the
+        The selected server. Its `unread_tokens` are the prompt tokens that the
         server has to read, `reading_seconds` the time for reading them and
         `ahead_seconds` the wait before: other prompts, a slot, the network.
     judged_seconds : float
@@ -27,7 +27,7 @@
     """
 
     __slots__ = (
-        'unread',
+        'unread_tokens',
         'reading_seconds',
         'ahead_seconds',
         'judged_seconds',
@@ -43,7 +43,7 @@
         allowed_seconds: float,
         share_use: float,
     ) -> None:
-        self.unread = candidate.unread
+        self.unread_tokens = candidate.unread_tokens
         self.reading_seconds = candidate.reading_seconds
         self.ahead_seconds = candidate.wait_seconds - candidate.reading_seconds
         self.judged_seconds = judged_seconds
@@ -61,14 +61,14 @@
         return self.judged_seconds - self.allowed_seconds
 
 
-class Need:
+class PlacementRequest:
     """The data of one request that placement uses.
 
     Parameters
     ----------
     service : str
         The service whose backend servers may run the request.
-    account : str
+    client_account : str
         The client account; empty on public routes.
     route : Route
         Sets the objective.
@@ -80,13 +80,13 @@
 
     __slots__ = (
         'service',
-        'account',
+        'client_account',
         'route',
         'prompt',
         'arrived',
         'deadline',
-        'excluded',
-        'granted',
+        'excluded_servers',
+        'placed_before',
         'estimate',
     )
 
@@ -94,26 +94,26 @@
         self,
         *,
         service: str,
-        account: str,
+        client_account: str,
         route: routes.Route,
         prompt: prompts.Prompt | None,
         arrived: float,
         deadline: float,
     ) -> None:
         self.service = service
-        self.account = account
+        self.client_account = client_account
         self.route = route
         self.prompt = prompt
         self.arrived = arrived
         self.deadline = deadline
         # Names of servers that failed or rejected the request.
-        self.excluded: set[str] = set()
+        self.excluded_servers: set[str] = set()
         # Whether the request had a place before. Its tokens are then counted
         # already, and the account, which may be over its share now, was
         # admitted when the request began.
-        self.granted = False
+        self.placed_before = False
         # The estimate of the latest selection, for logs.
-        self.estimate: Estimate | None = None
+        self.estimate: WaitEstimate | None = None
 
     @property
     def tokens(self) -> float:
@@ -122,31 +122,31 @@
             return 0.0
         generated = self.prompt.expected_tokens
         return self.prompt.own_tokens + (
-            demand_module.GENERATED_WEIGHT * generated
+            demand_module.GENERATED_TOKEN_WEIGHT * generated
         )
 
 
 class ScoredCandidate:
     """A candidate server with its expected wait and cost."""
 
-    __slots__ = ('engine', 'unread', 'wait_seconds', 'cost')
+    __slots__ = ('engine', 'unread_tokens', 'wait_seconds', 'cost')
 
     def __init__(
         self,
         engine: engines_module.Engine,
-        unread: float,
+        unread_tokens: float,
         wait_seconds: float,
         cost: float,
     ) -> None:
         self.engine = engine
-        self.unread = unread
+        self.unread_tokens = unread_tokens
         self.wait_seconds = wait_seconds
         self.cost = cost
 
     @property
     def reading_seconds(self) -> float:
         """The part of the wait during which the request's prompt is read."""
-        return self.unread / self.engine.queue.rate
+        return self.unread_tokens / self.engine.queue.rate
 
 
 class ProgressListener(typing.Protocol):
@@ -187,7 +187,7 @@
     __slots__ = (
         'server',
         'expected_seconds',
-        'unread',
+        'unread_tokens',
         'held',
         'ask_number',
         'succeeded',
@@ -204,13 +204,13 @@
     def __init__(
         self,
         manager: PlaceManager,
-        need: Need,
+        placement_request: PlacementRequest,
         candidate: ScoredCandidate,
         now: float,
     ) -> None:
         self.server = candidate.engine.server
         self.expected_seconds = candidate.wait_seconds
-        self.unread = candidate.unread
+        self.unread_tokens = candidate.unread_tokens
         self.held = 0
         # The number that identifies the request at the server's keeper; 0 if
         # the keeper does not count it.
@@ -225,7 +225,7 @@
         self._started = False
         # Monotonic time at which the answer began.
         self._started_at = 0.0
-        self._add_load(need.prompt, now)
+        self._add_load(placement_request.prompt, now)
 
     def _add_load(self, prompt: prompts.Prompt | None, now: float) -> None:
         engine = self._engine
@@ -236,7 +236,7 @@
         self.held = prompt.prompt_tokens + prompt.expected_tokens
         engine.held += self.held
         self._queue_mark = engine.queue.add(
-            self.unread,
+            self.unread_tokens,
             now,
             running=running,
             other=self._manager.engines.read_slot_wait(engine, running),
--- a/src/amaranthslip/shares/lines.py
+++ b/src/amaranthslip/shares/queues.py
@@ -29,7 +29,7 @@
         self.enqueued = enqueued
 
 
-class Told:
+class ReportedState:
     """The state of a queue that was last reported to one dispatcher.
 
     `count` is the reported backlog less the grants received since, `total`
@@ -45,14 +45,15 @@
         self.running = 0
 
 
-class Line:
+class AccountQueue:
     """The waiting requests of one client account for one service.
 
     `total` is the service delivered in tokens, `running` the number of
     requests that hold slots, `estimate` the expected cost of one request in
-    tokens, `hint` the highest score received, `told` the reported state by
-    dispatcher, `extras` the dispatchers outside the homes that demand is
-    reported to, and `interval` the mean time between grants in seconds.
+    tokens, `hint` the highest score received, `reported` the reported state by
+    dispatcher, `extra_dispatchers` the dispatchers outside the homes that
+    demand is reported to, and `interval` the mean time between grants in
+    seconds.
     """
 
     __slots__ = (
@@ -63,8 +64,8 @@
         'running',
         'estimate',
         'hint',
-        'told',
-        'extras',
+        'reported',
+        'extra_dispatchers',
         'interval',
         '_clock',
         '_last_grant',
@@ -84,18 +85,18 @@
         self.running = 0
         self.estimate = 0.0
         self.hint = 0.0
-        self.told: dict[str, Told] = {}
-        self.extras: set[str] = set()
+        self.reported: dict[str, ReportedState] = {}
+        self.extra_dispatchers: set[str] = set()
         self.interval = 0.0
         self._clock = clock
         self._last_grant = 0.0
 
-    def find_told(self, dispatcher: str) -> Told:
+    def get_reported(self, dispatcher: str) -> ReportedState:
         """Return the reported state; a new dispatcher starts at no backlog."""
-        told = self.told.get(dispatcher)
-        if told is None:
-            told = self.told[dispatcher] = Told(self.total)
-        return told
+        reported = self.reported.get(dispatcher)
+        if reported is None:
+            reported = self.reported[dispatcher] = ReportedState(self.total)
+        return reported
 
     def append(self, ticket: tickets.Ticket) -> Waiter:
         """Append a request to the queue."""
--- a/src/amaranthslip/shares/scheduler.py
+++ b/src/amaranthslip/shares/scheduler.py
@@ -15,11 +15,11 @@
 from amaranthslip.requests import outcomes
 from amaranthslip.requests import tickets
 from amaranthslip import settings as settings_module
+from amaranthslip.shares import dispatch_reports
 from amaranthslip.shares import leases
-from amaranthslip.shares import lines
 from amaranthslip.shares import messages
 from amaranthslip.shares import ownership
-from amaranthslip.shares import reporting
+from amaranthslip.shares import queues
 
 _LOG = logging.getLogger(__name__)
 
@@ -35,7 +35,7 @@
     ----------
     settings : Settings
         Uses `instance` and `dispatch`.
-    owned : Ownership
+    owners : Ownership
         The homes of client accounts and the owners of servers.
     holder : Holder
         The configuration in force.
@@ -54,7 +54,7 @@
         '_outbox',
         '_metrics',
         '_clock',
-        '_lines',
+        '_queues',
         '_waiting',
         '_leases',
         '_stale_dispatchers',
@@ -69,7 +69,7 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        owned: ownership.Ownership,
+        owners: ownership.Ownership,
         holder: typing.Any,
         outbox: typing.Any,
         metrics: metrics_module.Metrics,
@@ -77,21 +77,21 @@
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
         self._settings = settings
-        self._ownership = owned
+        self._ownership = owners
         self._holder = holder
         self._outbox = outbox
         self._metrics = metrics
         self._clock = clock
-        self._lines: dict[tuple[str, str], lines.Line] = {}
-        self._waiting: set[lines.Line] = set()
+        self._queues: dict[tuple[str, str], queues.AccountQueue] = {}
+        self._waiting: set[queues.AccountQueue] = set()
         self._leases: dict[int, leases.SlotLease] = {}
         self._stale_dispatchers: set[str] = set()
         self._incarnations: dict[str, int] = {}
         self._prefixes = (
             prefixes.Prefixes() if settings.dispatch.prefix_routing else None
         )
-        self._reporting = reporting.Reporting(
-            settings, owned, holder, outbox, self._prefixes, clock=clock
+        self._reporting = dispatch_reports.DispatchReports(
+            settings, owners, holder, outbox, self._prefixes, clock=clock
         )
         self._generation = -1
         self._configuration = -1
@@ -111,20 +111,20 @@
     def acquire(self, ticket: tickets.Ticket) -> leases.SlotLease:
         """Queue a request until it gets a slot; see `scheduling.Scheduler`."""
         account = self._check_account(ticket)
-        line = self._get_queue(ticket.service, ticket.client_account)
-        self._check_queue(line, account, ticket)
+        queue = self._get_queue(ticket.service, ticket.client_account)
+        self._check_queue(queue, account, ticket)
         self._reset_exclusions(ticket)
-        line.estimate = ticket.estimate
-        waiter = line.append(ticket)
-        self._waiting.add(line)
-        self._update_queued_gauge(line)
-        self._reporting.tell_wants(line)
-        return self._await_grant(line, waiter, account)
+        queue.estimate = ticket.estimate
+        waiter = queue.append(ticket)
+        self._waiting.add(queue)
+        self._update_queued_gauge(queue)
+        self._reporting.report_waiting(queue)
+        return self._await_grant(queue, waiter, account)
 
     def _await_grant(
         self,
-        line: lines.Line,
-        waiter: lines.Waiter,
+        queue: queues.AccountQueue,
+        waiter: queues.Waiter,
         account: document.ClientAccount,
     ) -> leases.SlotLease:
         ticket = waiter.ticket
@@ -134,10 +134,10 @@
         try:
             lease = waiter.granted.get(timeout=timeout)
         except gevent.Timeout:
-            raise self._refuse_wait(line, timeout) from None
+            raise self._refuse_wait(queue, timeout) from None
         finally:
-            line.remove(waiter)
-            self._report_queue(line)
+            queue.remove(waiter)
+            self._report_queue(queue)
             if lease is None and waiter.granted.successful():
                 # The caller disconnected or the timeout expired after the
                 # grant was set and before it was read. The slot would leak
@@ -166,24 +166,24 @@
 
     def _check_queue(
         self,
-        line: lines.Line,
+        queue: queues.AccountQueue,
         account: document.ClientAccount,
         ticket: tickets.Ticket,
     ) -> None:
         """Refuse a request early if its queue is full or the wait too long."""
-        if len(line.waiters) >= account.queue_requests:
+        if len(queue.waiters) >= account.queue_requests:
             raise self._refuse(
                 'queue_full',
-                f'{len(line.waiters)} requests of this client account are '
+                f'{len(queue.waiters)} requests of this client account are '
                 'queued on this instance already; retry later',
                 status=429,
-                retry_after=max(_MIN_RETRY_SECONDS, line.interval),
+                retry_after=max(_MIN_RETRY_SECONDS, queue.interval),
             )
         allowed = min(
             account.queue_seconds, ticket.deadline - time.monotonic()
         )
-        predicted = line.predict_wait()
-        if len(line.waiters) >= _MIN_QUEUE_TO_PREDICT and predicted > allowed:
+        predicted = queue.predict_wait()
+        if len(queue.waiters) >= _MIN_QUEUE_TO_PREDICT and predicted > allowed:
             raise self._refuse(
                 'queue_wait',
                 f'the expected queue wait is {predicted:.0f} s, longer than '
@@ -193,13 +193,13 @@
             )
 
     def _refuse_wait(
-        self, line: lines.Line, timeout: float
+        self, queue: queues.AccountQueue, timeout: float
     ) -> errors.RequestRefused:
         return self._refuse(
             'queue_timeout',
             f'no slot became free within {timeout:.1f} s; retry later',
             status=429,
-            retry_after=max(_MIN_RETRY_SECONDS, line.predict_wait()),
+            retry_after=max(_MIN_RETRY_SECONDS, queue.predict_wait()),
         )
 
     def _refuse(
@@ -223,9 +223,9 @@
 
     # -- leases -----------------------------------------------------------
 
-    def charge(self, line: lines.Line, tokens: float) -> None:
+    def charge(self, queue: queues.AccountQueue, tokens: float) -> None:
         """Count delivered tokens; the next tick reports them to the homes."""
-        self._reporting.note_charge(line, tokens)
+        self._reporting.note_charge(queue, tokens)
 
     def finish(
         self, lease: leases.SlotLease, outcome: outcomes.Outcome
@@ -233,7 +233,7 @@
         """Return the slot of a lease; a second call has no effect."""
         if self._leases.pop(lease.id, None) is None:
             return
-        lease.line.running -= 1
+        lease.queue.running -= 1
         if outcome == outcomes.Outcome.DONE and self._prefixes is not None:
             self._prefixes.note(
                 lease.backend_server.name, lease.ticket.prefix_hashes
@@ -247,7 +247,7 @@
             id=lease.id,
             outcome=outcome,
             pace=lease.pace,
-            seen=self._reporting.take_seen(lease.holder),
+            seen=self._reporting.confirm_last_grant(lease.holder),
         )
         self._send(lease.holder, message)
 
@@ -261,7 +261,7 @@
         """
         if self._incarnations.get(sender) != incarnation:
             self._incarnations[sender] = incarnation
-            self._reporting.forget(sender)
+            self._reporting.forget_grants(sender)
 
     def receive(self, sender: str, message: object) -> None:
         """Handle a message of `shares.messages` from a dispatcher."""
@@ -274,19 +274,19 @@
     @_handle.register
     def _(self, message: messages.SlotGrant, sender: str) -> None:
         self._reporting.note_grant(sender, message.id)
-        line = self._get_queue(message.service, message.client_account)
-        line.observe_score(message.score)
-        reported = line.told.get(sender)
+        queue = self._get_queue(message.service, message.client_account)
+        queue.observe_score(message.score)
+        reported = queue.reported.get(sender)
         if reported is not None:
             reported.count = max(0, reported.count - 1)
-        if not self._use_grant(line, message, sender):
+        if not self._use_grant(queue, message, sender):
             unused = messages.Finish(
                 id=message.id,
                 outcome=outcomes.Outcome.UNUSED,
-                seen=self._reporting.take_seen(sender),
+                seen=self._reporting.confirm_last_grant(sender),
             )
             self._send(sender, unused)
-        self._report_queue(line)
+        self._report_queue(queue)
 
     @_handle.register
     def _(self, message: messages.Restate, sender: str) -> None:
@@ -312,35 +312,38 @@
         """
         state: list[object] = [
             messages.Reset(
-                seen=self._reporting.take_seen(name), answers=answers
+                seen=self._reporting.confirm_last_grant(name), answers=answers
             )
         ]
         for lease in self._leases.values():
             if lease.holder == name:
                 state.append(self._reporting.build_held(lease))
-        for line in self._lines.values():
-            state += self._reporting.restate_line(line, name)
+        for queue in self._queues.values():
+            state += self._reporting.restate_queue(queue, name)
         return state
 
     def _use_grant(
-        self, line: lines.Line, message: messages.SlotGrant, sender: str
+        self,
+        queue: queues.AccountQueue,
+        message: messages.SlotGrant,
+        sender: str,
     ) -> bool:
         server = self._holder.document.backend_servers.get(message.server)
         if server is None or server.leaving:
             return False
-        waiter = line.pop(message.server, self._prefixes)
+        waiter = queue.pop(message.server, self._prefixes)
         if waiter is None:
             return False
         lease = leases.SlotLease(
             self,
-            line,
+            queue,
             waiter.ticket,
             server,
             id=message.id,
             holder=sender,
         )
         self._leases[lease.id] = lease
-        line.running += 1
+        queue.running += 1
         waiter.granted.set(lease)
         return True
 
@@ -368,21 +371,21 @@
         now = self._clock()
         self._follow_ownership()
         self._follow_configuration()
-        for line in list(self._waiting):
-            self._reporting.tell_wants(line)
-            self._reporting.tell_running(line)
-            if not line.waiters:
-                self._waiting.discard(line)
-        self._reporting.tell_dirty(now)
+        for queue in list(self._waiting):
+            self._reporting.report_waiting(queue)
+            self._reporting.report_running(queue)
+            if not queue.waiters:
+                self._waiting.discard(queue)
+        self._reporting.report_delivered(now)
         self._restate_stale()
-        self._reporting.confirm_late()
+        self._reporting.confirm_pending_grants()
 
     def describe(self) -> dict[str, int]:
         """Return the queue length of each client account at this entry."""
         queued: dict[str, int] = {}
-        for line in self._waiting:
-            account = line.client_account
-            queued[account] = queued.get(account, 0) + len(line.waiters)
+        for queue in self._waiting:
+            account = queue.client_account
+            queued[account] = queued.get(account, 0) + len(queue.waiters)
         return queued
 
     def _run(self) -> None:
@@ -401,7 +404,7 @@
             return
         self._generation = self._ownership.generation
         for lease in self._leases.values():
-            owner = self._ownership.owner(lease.backend_server.name)
+            owner = self._ownership.find_owner(lease.backend_server.name)
             if owner is not None:
                 self._transfer_lease(lease, owner)
 
@@ -420,42 +423,44 @@
         self._configuration = self._holder.generation
         accounts = self._holder.document.client_accounts
         self._reporting.follow_configuration()
-        for line in list(self._lines.values()):
-            account = accounts.get(line.client_account)
-            if account is not None and line.service in account.services:
+        for queue in list(self._queues.values()):
+            account = accounts.get(queue.client_account)
+            if account is not None and queue.service in account.services:
                 continue
-            line.refuse_all(
+            queue.refuse_all(
                 self._refuse(
                     'account_removed',
-                    f'client account {line.client_account} may no longer use '
-                    f'service {line.service}; ask the operators',
+                    f'client account {queue.client_account} may no longer use '
+                    f'service {queue.service}; ask the operators',
                     status=403,
                 )
             )
-            self._report_queue(line)
-            del self._lines[line.service, line.client_account]
+            self._report_queue(queue)
+            del self._queues[queue.service, queue.client_account]
 
-    def _get_queue(self, service: str, client_account: str) -> lines.Line:
+    def _get_queue(
+        self, service: str, client_account: str
+    ) -> queues.AccountQueue:
         key = (service, client_account)
-        line = self._lines.get(key)
-        if line is None:
-            line = self._lines[key] = lines.Line(
+        queue = self._queues.get(key)
+        if queue is None:
+            queue = self._queues[key] = queues.AccountQueue(
                 service, client_account, clock=self._clock
             )
-        return line
+        return queue
 
-    def _report_queue(self, line: lines.Line) -> None:
+    def _report_queue(self, queue: queues.AccountQueue) -> None:
         # An empty queue is reported by the next tick only: callers often send
         # the next request at once.
-        if line.waiters:
-            self._reporting.tell_wants(line)
-        self._update_queued_gauge(line)
+        if queue.waiters:
+            self._reporting.report_waiting(queue)
+        self._update_queued_gauge(queue)
 
-    def _update_queued_gauge(self, line: lines.Line) -> None:
-        account = line.client_account
+    def _update_queued_gauge(self, queue: queues.AccountQueue) -> None:
+        account = queue.client_account
         queued = sum(
-            len(self._lines[service, account].waiters)
+            len(self._queues[service, account].waiters)
             for service in self._holder.document.services
-            if (service, account) in self._lines
+            if (service, account) in self._queues
         )
         self._metrics.set_gauge('queued', account, queued)
--- a/src/amaranthslip/shares/servicequeue.py
+++ b/src/amaranthslip/shares/servicequeue.py
@@ -76,7 +76,7 @@
         self._last_sent_free = 0
 
     def choose(
-        self, fraction: float, silent: typing.Container[str]
+        self, fraction: float, unresponsive: typing.Container[str]
     ) -> Choice | None:
         """Return the next grant, lowest score first, or None.
 
@@ -93,7 +93,7 @@
         for client_account in self._rank_accounts():
             demands = self.backlog.list_demands(client_account)
             for demand in sorted(demands, key=lambda each: each.since):
-                if demand.entry in silent:
+                if demand.entry in unresponsive:
                     continue
                 server_slots = self._choose_server(demand, free, now)
                 if server_slots is not None:
@@ -125,11 +125,11 @@
         free.sort(key=lambda server_slots: -server_slots.count_free(fraction))
         return free
 
-    def take(self, demand: backlog.Demand) -> None:
+    def count_grant(self, demand: backlog.Demand) -> None:
         """Count one request of a demand as granted."""
         self.backlog.count_grant(demand)
         if not self.backlog.has_waiting(demand.client_account):
-            self.ledger.end(demand.client_account)
+            self.ledger.mark_idle(demand.client_account)
 
     def exclude_declined(self, holding: slots.Holding) -> None:
         """Stop offering a server to an entry for a while after a refusal.
@@ -146,7 +146,7 @@
     def drop_entry(self, entry: str) -> None:
         """Remove the demand of an entry."""
         for client_account in self.backlog.drop_entry(entry):
-            self.ledger.end(client_account)
+            self.ledger.mark_idle(client_account)
 
     def build_digest(self, fraction: float) -> messages.Digest | None:
         """Return the digest for peers, or None when nothing is free.
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -29,7 +29,7 @@
 _SEED = 20261203
 
 
-def build_need(
+def build_placement_request(
     context, *, kind=patterns.KINDS[0], name='own', own=500, left=5.0
 ):
     """Return the placement data of a request of a kind."""
@@ -39,9 +39,9 @@
         prompt_tokens=100 + own,
         most_tokens=50,
     )
-    return places.Need(
+    return places.PlacementRequest(
         service=patterns.SERVICE,
-        account=ACCOUNT,
+        client_account=ACCOUNT,
         route=patterns.build_route(kind),
         prompt=prompt,
         arrived=context.environment.now,
@@ -74,7 +74,7 @@
 @behave.given('an account that was granted {granted_ratio:g} times its share')
 def set_granted(context, granted_ratio):
     # As received from the instance that aggregates the fleet's demand.
-    context.placement.demand.note_asked(ACCOUNT, 0.0)
+    context.placement.demand.note_requested(ACCOUNT, 0.0)
     totals = demand.TokenTotals(
         asked=100.0 * max(1.0, granted_ratio), granted=100.0 * granted_ratio
     )
@@ -88,7 +88,7 @@
     ' granted {granted_ratio:g} of it'
 )
 def set_demand(context, requested_ratio, granted_ratio):
-    context.placement.demand.note_asked(ACCOUNT, 0.0)
+    context.placement.demand.note_requested(ACCOUNT, 0.0)
     totals = demand.TokenTotals(
         asked=100.0 * requested_ratio, granted=100.0 * granted_ratio
     )
@@ -102,11 +102,11 @@
 )
 @behave.when('a request of {tokens:d} tokens of that route is submitted')
 def submit_sized(context, tokens):
-    need = build_need(
+    placement_request = build_placement_request(
         context, kind=VARIED_SIZES, name=f'own-{tokens}', own=tokens, left=15.0
     )
     try:
-        context.place = context.placement.select_place(need)
+        context.place = context.placement.select_place(placement_request)
     except errors.RequestRefused as refusal:
         context.place, context.refusal = None, refusal
 
@@ -114,10 +114,10 @@
 @behave.when('a request that {past} is submitted, with {left:d} s left')
 @behave.when('a request that {past} is submitted again, with {left:d} s left')
 def submit(context, past, left):
-    need = build_need(context, left=float(left))
-    need.granted = past == 'had a place before'
+    placement_request = build_placement_request(context, left=float(left))
+    placement_request.placed_before = past == 'had a place before'
     try:
-        context.place = context.placement.select_place(need)
+        context.place = context.placement.select_place(placement_request)
     except errors.RequestRefused as refusal:
         context.place, context.refusal = None, refusal
 
@@ -139,11 +139,11 @@
     ' left'
 )
 def submit_retry(context, left):
-    need = build_need(context, left=float(left))
+    placement_request = build_placement_request(context, left=float(left))
     _, second = context.placement.engines.list_all()
-    need.excluded.add(second.server.name)
+    placement_request.excluded_servers.add(second.server.name)
     try:
-        context.place = context.placement.select_place(need)
+        context.place = context.placement.select_place(placement_request)
     except errors.RequestRefused as refusal:
         context.place, context.refusal = None, refusal
 
@@ -185,7 +185,7 @@
         own = min(int(drawn.lognormvariate(8.2, 1.1)), 8 * VARIED_SIZES.own)
         sized = patterns.Sized(own)
         context.sized.append(sized)
-        need = build_need(
+        placement_request = build_placement_request(
             context,
             kind=VARIED_SIZES,
             name=f'own-{number}',
@@ -193,7 +193,7 @@
             left=15.0,
         )
         try:
-            context.placement.select_place(need).withdraw()
+            context.placement.select_place(placement_request).withdraw()
         except errors.RequestRefused:
             continue
         sized.served = True
@@ -255,5 +255,5 @@
 
 @behave.then('a new request is placed at the other engine')
 def check_other(context):
-    place = context.placement.select_place(build_need(context))
+    place = context.placement.select_place(build_placement_request(context))
     assert place.server.name == context.quieter.server.name
--- a/tests/features/steps/candidates.py
+++ b/tests/features/steps/candidates.py
@@ -23,7 +23,7 @@
     key = context.prompt.shared_key
     context.order = sorted(
         (each.name for each in context.environment.servers),
-        key=lambda name: identity.rank(key, name),
+        key=lambda name: identity.rendezvous_hash(key, name),
         reverse=True,
     )
     context.ejected = set()
@@ -47,9 +47,9 @@
 
 @behave.when('a prompt is placed')
 def place(context):
-    need = places.Need(
+    placement_request = places.PlacementRequest(
         service=patterns.SERVICE,
-        account='account-1',
+        client_account='account-1',
         route=patterns.build_route(patterns.KINDS[0]),
         prompt=context.prompt,
         arrived=context.environment.now,
@@ -59,7 +59,7 @@
     with mock.patch.object(
         placement.Placement, '_score_engine', autospec=True, side_effect=score
     ) as scored:
-        found = context.instance.placement.select_place(need)
+        found = context.instance.placement.select_place(placement_request)
     context.scored = scored.call_count
     context.server = found.server.name
 
--- a/tests/features/steps/configuration.py
+++ b/tests/features/steps/configuration.py
@@ -71,10 +71,12 @@
     # name is replaced.
     context.values = documents.read_example('consorcio')
     first, second = context.values['client_accounts'][:2]
-    identify = identity.identify
-    replaced_numbers = {second['name']: identify(first['name'])}
-    identity.identify = lambda name: replaced_numbers.get(name, identify(name))
-    context.add_cleanup(setattr, identity, 'identify', identify)
+    hash_name = identity.hash_name
+    replaced_numbers = {second['name']: hash_name(first['name'])}
+    identity.hash_name = lambda name: replaced_numbers.get(
+        name, hash_name(name)
+    )
+    context.add_cleanup(setattr, identity, 'hash_name', hash_name)
 
 
 @behave.when('the mistaken document is validated')
--- a/tests/features/steps/demand.py
+++ b/tests/features/steps/demand.py
@@ -20,7 +20,7 @@
     '{granted:d}'
 )
 def count_demand(context, seconds, account, asked, granted):
-    context.demand.note_asked(account, asked)
+    context.demand.note_requested(account, asked)
     context.demand.note_granted(account, granted)
 
 
--- a/tests/features/steps/dispatch.py
+++ b/tests/features/steps/dispatch.py
@@ -15,8 +15,8 @@
 from amaranthslip.members import members
 from amaranthslip.requests import outcomes
 from amaranthslip.shares import ledger
-from amaranthslip.shares import lines
 from amaranthslip.shares import ownership
+from amaranthslip.shares import queues
 from tests.support import dispatchfuzz
 from tests.support import dispatching
 
@@ -178,7 +178,7 @@
 )
 def check_slots_in_use(context, server, slots):
     instances = context.network.instances
-    owner = instances['r0'].ownership.owner(server)
+    owner = instances['r0'].ownership.find_owner(server)
     _wait_until(
         lambda: instances[owner].dispatcher.describe()[server]['used'] == slots
     )
@@ -266,7 +266,7 @@
 
 @behave.then('the dispatch owner of "{server}" grants none of its slots')
 def check_ejected(context, server):
-    owner = context.network.instances['r0'].ownership.owner(server)
+    owner = context.network.instances['r0'].ownership.find_owner(server)
     _wait_until(
         lambda: not context.network.instances[owner].health.admits(server)
     )
@@ -278,7 +278,7 @@
     network = context.network
     context.successor = max(
         (name for name in context.names if name != context.owner),
-        key=lambda name: identity.rank('engine-0', name),
+        key=lambda name: identity.rendezvous_hash('engine-0', name),
     )
     refresh = ownership.Ownership.refresh
 
@@ -304,13 +304,13 @@
     'an entry reports {count:d} running dispatch requests of {tokens:g} tokens'
 )
 def report_running(context, count, tokens):
-    context.ledger.expect('cut', tokens)
+    context.ledger.set_estimate('cut', tokens)
     context.ledger.report('cut', 'r1', running=count, seen=0)
 
 
 @behave.when('another entry reports the dispatch estimate {tokens:g}')
 def report_estimate(context, tokens):
-    context.ledger.expect('cut', tokens)
+    context.ledger.set_estimate('cut', tokens)
 
 
 @behave.then('the dispatch score with running requests is {score:g}')
@@ -320,10 +320,12 @@
 
 @behave.given('an entry that is not the dispatch owner')
 def choose_remote_entry(context):
-    context.owner = context.network.instances['r0'].ownership.owner('engine-0')
+    context.owner = context.network.instances['r0'].ownership.find_owner(
+        'engine-0'
+    )
     context.remote_entry = min(
         (name for name in context.names if name != context.owner),
-        key=lambda name: identity.rank('engine-0', name),
+        key=lambda name: identity.rendezvous_hash('engine-0', name),
     )
 
 
@@ -377,7 +379,7 @@
 def disconnect_when_granted(context, count, account):
     scheduler = context.network.instances['r0'].scheduler
     callers = []
-    pop = lines.Line.pop
+    pop = queues.AccountQueue.pop
 
     def pop_and_disconnect(line, server, known):
         # The kill is scheduled before the wake-up by the grant, so that the
@@ -385,7 +387,7 @@
         callers[-1].kill(block=False)
         return pop(line, server, known)
 
-    with mock.patch.object(lines.Line, 'pop', pop_and_disconnect):
+    with mock.patch.object(queues.AccountQueue, 'pop', pop_and_disconnect):
         for _ in range(count):
             ticket = dispatching.build_ticket('pool', account, estimate=10)
             callers.append(gevent.spawn(scheduler.acquire, ticket))
--- a/tests/features/steps/keepers.py
+++ b/tests/features/steps/keepers.py
@@ -45,7 +45,7 @@
             self.instances[name].keepers.receive(sender, message)
 
 
-def _build_need(fleet, session, own_tokens):
+def _build_placement_request(fleet, session, own_tokens):
     parts = [
         prompts.Part('first', 500),
         prompts.Part(session, 500),
@@ -57,9 +57,9 @@
         prompt_tokens=1000 + own_tokens,
         most_tokens=100,
     )
-    return places.Need(
+    return places.PlacementRequest(
         service=patterns.SERVICE,
-        account='account-1',
+        client_account='account-1',
         route=patterns.build_route(_KIND),
         prompt=prompt,
         arrived=fleet.now,
@@ -94,8 +94,10 @@
     # Tries sessions until the keeper of the selected engine is not the sender.
     for number in range(50):
         sender = fleet.instances[fleet.names[number % 3]]
-        need = _build_need(fleet, f'session-{number}', tokens)
-        place = sender.keepers.reserve(need)
+        placement_request = _build_placement_request(
+            fleet, f'session-{number}', tokens
+        )
+        place = sender.keepers.reserve(placement_request)
         keeper = sender.keepers.find_keeper(place.server.name)
         if keeper != sender.name:
             context.session = f'session-{number}'
@@ -113,8 +115,12 @@
 def send_third(context):
     known = {context.sender, context.keeper}
     (third,) = [name for name in context.fleet.names if name not in known]
-    need = _build_need(context.fleet, context.session, 100)
-    context.third = context.fleet.instances[third].keepers.reserve(need)
+    placement_request = _build_placement_request(
+        context.fleet, context.session, 100
+    )
+    context.third = context.fleet.instances[third].keepers.reserve(
+        placement_request
+    )
 
 
 @behave.then('that prompt is placed at the other engine')
@@ -131,9 +137,11 @@
         fleet.instances['one'].keepers.find_keeper(each) for each in servers
     }
     name = next(each for each in fleet.names if each not in keepers)
-    need = _build_need(fleet, 'session', 100)
+    placement_request = _build_placement_request(fleet, 'session', 100)
     instance = fleet.instances[name]
-    context.places = [instance.keepers.reserve(need) for _ in range(count)]
+    context.places = [
+        instance.keepers.reserve(placement_request) for _ in range(count)
+    ]
 
 
 @behave.then('all {count:d} prompts have places')
@@ -156,7 +164,9 @@
     fleet.lost_kind = 'PlaceAnswer'
     sender = fleet.instances['one']
     context.places = [
-        sender.keepers.reserve(_build_need(fleet, f's-{number}', 100))
+        sender.keepers.reserve(
+            _build_placement_request(fleet, f's-{number}', 100)
+        )
         for number in range(count)
     ]
 
@@ -202,13 +212,13 @@
 
 @behave.when('that instance restarts')
 def restart(context):
-    context.fleet.instances[context.keeper].keepers.greet(context.sender)
+    context.fleet.instances[context.keeper].keepers.forget_peer(context.sender)
 
 
 @behave.when('the end of that request is lost, and {seconds:d} seconds pass')
 def lose_end(context, seconds):
     context.fleet.now += seconds
-    context.fleet.instances[context.keeper].keepers.purge()
+    context.fleet.instances[context.keeper].keepers.drop_expired()
 
 
 @behave.then('the keeper counts no load at that engine')
@@ -228,8 +238,10 @@
     context.lost_prompts = 0
     for number in range(count):
         instance = fleet.instances[fleet.names[number % 3]]
-        need = _build_need(fleet, f'session-{number}', 100)
-        place = instance.keepers.reserve(need)
+        placement_request = _build_placement_request(
+            fleet, f'session-{number}', 100
+        )
+        place = instance.keepers.reserve(placement_request)
         if place.server.name == context.failing:
             context.lost_prompts += 1
             place.fail()
@@ -247,8 +259,10 @@
 def check_avoided(context):
     for name, instance in context.fleet.instances.items():
         for number in range(12):
-            need = _build_need(context.fleet, f'again-{number}', 100)
-            place = instance.keepers.reserve(need)
+            placement_request = _build_placement_request(
+                context.fleet, f'again-{number}', 100
+            )
+            place = instance.keepers.reserve(placement_request)
             assert place.server.name != context.failing, name
             place.cancel()
 
@@ -256,15 +270,17 @@
 @behave.when('an engine reads a prompt')
 def send_and_read(context):
     instance = context.fleet.instances['one']
-    context.need = _build_need(context.fleet, 'session', 100)
-    place = instance.keepers.reserve(context.need)
-    context.first_unread = place.unread
+    context.placement_request = _build_placement_request(
+        context.fleet, 'session', 100
+    )
+    place = instance.keepers.reserve(context.placement_request)
+    context.first_unread = place.unread_tokens
     context.server = place.server
     place.start()
     place.succeed()
-    again = instance.keepers.reserve(context.need)
+    again = instance.keepers.reserve(context.placement_request)
     assert again.server.name == place.server.name
-    assert again.unread < 100, again.unread
+    assert again.unread_tokens < 100, again.unread_tokens
     again.cancel()
 
 
@@ -280,9 +296,9 @@
 @behave.then('the same prompt counts as unread at that engine')
 def check_unread(context):
     instance = context.fleet.instances['one']
-    place = instance.keepers.reserve(context.need)
+    place = instance.keepers.reserve(context.placement_request)
     assert place.server.name == context.server.name
-    assert place.unread == context.first_unread, place.unread
+    assert place.unread_tokens == context.first_unread, place.unread_tokens
 
 
 @behave.when(
--- a/tests/support/dispatching.py
+++ b/tests/support/dispatching.py
@@ -253,7 +253,7 @@
     def _connect(self, sender: str, name: str) -> None:
         origin, target = self.instances[sender], self.instances[name]
         target.greet(sender, origin.incarnation)
-        first = [origin.dispatcher.build_question()]
+        first = [origin.dispatcher.build_restate()]
         for message in first + origin.scheduler.restate(name):
             self.send(sender, name, message)
 
