--- a/bench/patterns.py
+++ b/bench/patterns.py
@@ -293,7 +293,9 @@
         """
         uncached = uncached_shared = 0
         prefix_cached = True
-        for index, (key, part) in enumerate(zip(prompt.chain, prompt.parts)):
+        for index, (key, part) in enumerate(
+            zip(prompt.prefix_keys, prompt.parts)
+        ):
             prefix_cached = prefix_cached and key in self.cached
             if not prefix_cached:
                 uncached += part.tokens
@@ -683,7 +685,7 @@
         number = self._random.choices(range(_ACCOUNTS), weights)[0]
         prompt = self._draw_prompt(kind)
         sized = self._sized_requests[prompt.parts[-1].id] = Sized(
-            prompt.own_tokens
+            prompt.unshared_tokens
         )
         self.result.sized_requests[kind.name].append(sized)
         account = f'account-{number}'
@@ -708,16 +710,16 @@
         session = self._random.choices(range(sessions), weights)[0]
         own_tokens = self._draw_own_tokens(kind)
         parts = [
-            prompts.Part(f'{kind.name}-{session % count}', tokens),
-            prompts.Part(f'{kind.name}-s{session}', session_tokens),
-            prompts.Part(f'own-{next(self._ids)}', own_tokens),
+            prompts.PromptPart(f'{kind.name}-{session % count}', tokens),
+            prompts.PromptPart(f'{kind.name}-s{session}', session_tokens),
+            prompts.PromptPart(f'own-{next(self._ids)}', own_tokens),
         ]
         return prompts.Prompt(
             model='m',
             parts=parts,
             prompt_tokens=tokens + session_tokens + own_tokens,
-            most_tokens=kind.generated * 4,
-            hinted_tokens=kind.generated,
+            max_output_tokens=kind.generated * 4,
+            hinted_output_tokens=kind.generated,
         )
 
     def _draw_own_tokens(self, kind: Kind) -> int:
@@ -804,7 +806,7 @@
     def _choose_affinity(
         self, instance: Instance, placement_request: places.PlacementRequest
     ) -> tuple[str, places.Place | None]:
-        key = placement_request.prompt.shared_key
+        key = placement_request.prompt.shared_prefix_key
         return max(
             self.engines, key=lambda name: identity.rendezvous_hash(key, name)
         ), None
@@ -889,7 +891,7 @@
 def _count_tokens(kind: Kind, prompt: prompts.Prompt) -> float:
     """Return the weighted tokens, like `PlacementRequest.tokens`."""
     weighted = demand_module.GENERATED_TOKEN_WEIGHT * kind.generated
-    return prompt.own_tokens + weighted
+    return prompt.unshared_tokens + weighted
 
 
 def build_server(
--- a/examples/claims.py
+++ b/examples/claims.py
@@ -96,7 +96,7 @@
     """Confirm a booking unless its idempotency key was claimed before."""
     body = b'{"booking": "b-1"}'
     try:
-        claim = instance.claim('agency-1', key, claim_keys.fingerprint(body))
+        claim = instance.claim('agency-1', key, claim_keys.hash_request(body))
     except errors.RequestRepeated as repeated:
         return f'{repeated.reason}: {repeated}'
     # A real program sends the request to a backend server here. Settle the
--- a/src/amaranthslip/capacity/reading.py
+++ b/src/amaranthslip/capacity/reading.py
@@ -236,23 +236,23 @@
             collections.OrderedDict()
         )
 
-    def note(self, chain: typing.Sequence[str], total: float) -> None:
+    def note(self, prefix_keys: typing.Sequence[str], total: float) -> None:
         """Record that a prompt with these parts was sent at this total."""
-        for key in chain:
+        for key in prefix_keys:
             self._last_used[key] = total
             self._last_used.move_to_end(key)
         while len(self._last_used) > self._MAX_ENTRIES:
             self._last_used.popitem(last=False)
 
     def count_parts(
-        self, chain: typing.Sequence[str], total: float, room: float
+        self, prefix_keys: typing.Sequence[str], total: float, room: float
     ) -> int:
         """Return how many leading parts are probably cached.
 
         Parameters
         ----------
-        chain : sequence of str
-            `Prompt.chain`.
+        prefix_keys : sequence of str
+            `Prompt.prefix_keys`.
         total : float
             The engine's `PrefillQueue.total` now.
         room : float
@@ -260,7 +260,7 @@
             part without evicting it.
         """
         count = 0
-        for key in chain:
+        for key in prefix_keys:
             noted = self._last_used.get(key)
             if noted is None or total - noted > room:
                 break
--- a/src/amaranthslip/entry/attempts.py
+++ b/src/amaranthslip/entry/attempts.py
@@ -143,7 +143,7 @@
                 if call.sent and not call.kind.idempotent:
                     raise
                 failure, reason = error, error.reason
-            wait_seconds = self._retries.take(
+            wait_seconds = self._retries.take_retry(
                 call.account.name, reason, tries=tries, deadline=call.deadline
             )
             if wait_seconds is None and failure is not None:
--- a/src/amaranthslip/entry/claiming.py
+++ b/src/amaranthslip/entry/claiming.py
@@ -73,6 +73,6 @@
 
 
 def _fingerprint(call: calls.Call) -> int:
-    return claim_keys.fingerprint(
+    return claim_keys.hash_request(
         call.method.encode(), call.target.encode(), call.body
     )
--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -295,7 +295,7 @@
         if call.seconds_left < _MIN_TRY_SECONDS:
             self._deny_retry(failure, 'deadline')
         if failure.reason not in _UNCHARGED_REASONS:
-            if not self._budget.take(call.placement_request.service):
+            if not self._budget.take_retry(call.placement_request.service):
                 self._deny_retry(failure, 'budget')
         if relay is not None:
             call.resumed_after = relay.last_id
@@ -410,7 +410,7 @@
         call.kept_connection_broke = True
         if call.runs >= call.route.most_runs:
             return False
-        if not self._budget.take(call.placement_request.service):
+        if not self._budget.take_retry(call.placement_request.service):
             return False
         call.runs += 1
         self._metrics.count('retries', 'kept_connection')
@@ -512,7 +512,7 @@
             return
         # Charged before the answer is discarded: without budget for a retry,
         # the answer is passed on to the caller.
-        if self._budget.take(call.placement_request.service):
+        if self._budget.take_retry(call.placement_request.service):
             raise errors.BackendFailed(
                 _SERVER_ERROR,
                 f'the backend server failed with {answer.status}',
--- a/src/amaranthslip/platform/headers.py
+++ b/src/amaranthslip/platform/headers.py
@@ -154,17 +154,17 @@
             _read_parts(environ.get('HTTP_AMARANTHSLIP_PROMPT_PREFIX', ''))
         ),
         prompt_tokens=int(prompt_token_count),
-        most_tokens=int(max_token_count or 0),
-        hinted_tokens=None if hint is None else int(hint),
+        max_output_tokens=int(max_token_count or 0),
+        hinted_output_tokens=None if hint is None else int(hint),
     )
 
 
-def _read_parts(text: str) -> typing.Iterator[prompts.Part]:
+def _read_parts(text: str) -> typing.Iterator[prompts.PromptPart]:
     for each in text.split(','):
         name, _, tokens = each.strip().rpartition(':')
         count = _read_number(tokens)
         if name and count is not None:
-            yield prompts.Part(name, int(count))
+            yield prompts.PromptPart(name, int(count))
 
 
 def _read_number(text: str) -> float | None:
--- a/src/amaranthslip/platform/quarantined.py
+++ b/src/amaranthslip/platform/quarantined.py
@@ -20,7 +20,7 @@
 _LOG = logging.getLogger(__name__)
 
 _FOLDER = 'quarantine/'
-_LEASE_SECONDS = quarantine_module.KEEP_SECONDS
+_LEASE_SECONDS = quarantine_module.RETENTION_SECONDS
 # An instance that refuses a request after one third of the lease has passed
 # writes the entry again.
 _RENEWALS = 3
--- a/src/amaranthslip/requests/budget.py
+++ b/src/amaranthslip/requests/budget.py
@@ -64,7 +64,7 @@
         """Count a new request, which increases the budget."""
         self._find_current_bucket(service)[1] += 1
 
-    def take(self, service: str) -> bool:
+    def take_retry(self, service: str) -> bool:
         """Consume one retry; return False if the budget is exhausted."""
         bounds = self._settings.bounds
         bucket = self._find_current_bucket(service)
--- a/src/amaranthslip/requests/claim_keys.py
+++ b/src/amaranthslip/requests/claim_keys.py
@@ -19,7 +19,7 @@
     return hashlib.blake2b(data, digest_size=_HASH_BYTES).digest()
 
 
-def fingerprint(*parts: bytes) -> int:
+def hash_request(*parts: bytes) -> int:
     """Return a 64-bit hash of the parts that identify a request.
 
     The parts are the method, the path and the body. The hash detects a key
--- a/src/amaranthslip/requests/claims.py
+++ b/src/amaranthslip/requests/claims.py
@@ -165,7 +165,7 @@
         key : str
             The caller's `Idempotency-Key` header.
         fingerprint : int
-            `claim_keys.fingerprint` of the request.
+            `claim_keys.hash_request` of the request.
 
         Raises
         ------
--- a/src/amaranthslip/requests/crash_exchange.py
+++ b/src/amaranthslip/requests/crash_exchange.py
@@ -95,7 +95,7 @@
             return
         self._quarantine.note_repeat(fingerprint)
         self._store.renew(fingerprint, crashes)
-        keep_seconds = quarantine_module.KEEP_SECONDS
+        keep_seconds = quarantine_module.RETENTION_SECONDS
         raise errors.RequestRefused(
             'crashes_servers',
             f'the backend servers {_list_servers(crashes)} crashed while they'
--- a/src/amaranthslip/requests/outcomes.py
+++ b/src/amaranthslip/requests/outcomes.py
@@ -15,4 +15,4 @@
     UNUSED = 3
     # The request continues, but another dispatcher accounts for its slot from
     # now on.
-    MOVED = 4
+    TRANSFERRED = 4
--- a/src/amaranthslip/requests/prompts.py
+++ b/src/amaranthslip/requests/prompts.py
@@ -3,7 +3,7 @@
 import typing
 
 
-class Part:
+class PromptPart:
     """A part of a prompt, identified by an id, with its length in tokens."""
 
     __slots__ = ('id', 'tokens')
@@ -20,14 +20,14 @@
     ----------
     model : str
         Name of the model that answers the request.
-    parts : sequence of Part
+    parts : sequence of PromptPart
         The parts of the prompt in order. Other requests may start with the
         same parts. The last part belongs to this request or to its session.
     prompt_tokens : int
         Tokens of the whole prompt.
-    most_tokens : int
+    max_output_tokens : int
         Largest number of tokens that may be generated.
-    hinted_tokens : int or None
+    hinted_output_tokens : int or None
         Number of generated tokens that the caller expects; often inaccurate.
     """
 
@@ -35,8 +35,8 @@
         'model',
         'parts',
         'prompt_tokens',
-        'most_tokens',
-        'hinted_tokens',
+        'max_output_tokens',
+        'hinted_output_tokens',
         '_prefix_keys',
     )
 
@@ -44,32 +44,32 @@
         self,
         *,
         model: str,
-        parts: typing.Sequence[Part],
+        parts: typing.Sequence[PromptPart],
         prompt_tokens: int,
-        most_tokens: int,
-        hinted_tokens: int | None = None,
+        max_output_tokens: int,
+        hinted_output_tokens: int | None = None,
     ) -> None:
         self.model = model
         self.parts = tuple(parts)
         self.prompt_tokens = prompt_tokens
-        self.most_tokens = most_tokens
-        self.hinted_tokens = hinted_tokens
+        self.max_output_tokens = max_output_tokens
+        self.hinted_output_tokens = hinted_output_tokens
         self._prefix_keys: tuple[str, ...] | None = None
 
     @property
-    def expected_tokens(self) -> int:
+    def expected_output_tokens(self) -> int:
         """The expected number of generated tokens."""
-        if self.hinted_tokens is None:
-            return self.most_tokens
-        return min(self.hinted_tokens, self.most_tokens)
+        if self.hinted_output_tokens is None:
+            return self.max_output_tokens
+        return min(self.hinted_output_tokens, self.max_output_tokens)
 
     @property
-    def own_tokens(self) -> int:
+    def unshared_tokens(self) -> int:
         """Tokens of the last part, which no other request has sent."""
         return self.parts[-1].tokens if self.parts else self.prompt_tokens
 
     @property
-    def chain(self) -> tuple[str, ...]:
+    def prefix_keys(self) -> tuple[str, ...]:
         """One key for each part, which identifies the prefix up to it.
 
         The key covers the part and all parts before it, because an engine can
@@ -84,6 +84,6 @@
         return self._prefix_keys
 
     @property
-    def shared_key(self) -> str:
+    def shared_prefix_key(self) -> str:
         """The key of the longest prefix that can be shared, or ''."""
-        return self.chain[-2] if len(self.parts) > 1 else ''
+        return self.prefix_keys[-2] if len(self.parts) > 1 else ''
--- a/src/amaranthslip/requests/quarantine.py
+++ b/src/amaranthslip/requests/quarantine.py
@@ -11,7 +11,7 @@
 # Seconds for which a record is kept after the last crash or refused attempt.
 # Repeated attempts extend the retention without limit, because running the
 # request again as a test could crash another server.
-KEEP_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 # Seconds after a completion during which crashes are not counted. Otherwise,
 # servers that fail together could quarantine a request that many callers send.
 _COMPLETION_RETENTION_SECONDS = 60.0
@@ -212,7 +212,7 @@
         )
 
     def _drop_expired(self) -> None:
-        expired_before = self._clock() - KEEP_SECONDS
+        expired_before = self._clock() - RETENTION_SECONDS
         while self._records:
             oldest = next(iter(self._records))
             if self._records[oldest].updated_at >= expired_before:
--- a/src/amaranthslip/requests/retries.py
+++ b/src/amaranthslip/requests/retries.py
@@ -61,7 +61,7 @@
         else:
             self._missing_retries[client_account] = missing
 
-    def take(
+    def take_retry(
         self,
         client_account: str,
         reason: str,
--- a/src/amaranthslip/requests/tickets.py
+++ b/src/amaranthslip/requests/tickets.py
@@ -33,7 +33,7 @@
         'deadline',
         'prefix_hashes',
         'excluded',
-        'enqueued',
+        'enqueued_at',
     )
 
     def __init__(
@@ -56,4 +56,4 @@
         self.deadline = deadline
         self.prefix_hashes = tuple(prefix_hashes)
         self.excluded = set(excluded)
-        self.enqueued = time.monotonic()
+        self.enqueued_at = time.monotonic()
--- a/src/amaranthslip/shares/candidates.py
+++ b/src/amaranthslip/shares/candidates.py
@@ -67,7 +67,7 @@
         service : str
             The service whose servers are candidates.
         key : str
-            `Prompt.shared_key`; '' without a prompt.
+            `Prompt.shared_prefix_key`; '' without a prompt.
         """
         ready = self._engines.list_ready(service)
         order = self._find_order(service, key, ready)
--- a/src/amaranthslip/shares/dispatcher.py
+++ b/src/amaranthslip/shares/dispatcher.py
@@ -525,7 +525,7 @@
         if holding is None:
             return
         outcome = outcomes.Outcome(message.outcome)
-        if outcome == outcomes.Outcome.MOVED:
+        if outcome == outcomes.Outcome.TRANSFERRED:
             self._suspend_grants(holding.server)
             return
         self._health.record(holding.server, outcome)
--- a/src/amaranthslip/shares/placement.py
+++ b/src/amaranthslip/shares/placement.py
@@ -171,7 +171,7 @@
         self, placement_request: places.PlacementRequest
     ) -> list[places.ScoredCandidate]:
         key = (
-            placement_request.prompt.shared_key
+            placement_request.prompt.shared_prefix_key
             if placement_request.prompt
             else ''
         )
@@ -260,13 +260,17 @@
         running = engine.all_running
         wait = engine.queue.expect(unread_tokens, now, running)
         wait += self.engines.read_slot_wait(engine, running)
-        shared = max(0.0, unread_tokens - prompt.own_tokens)
+        shared = max(0.0, unread_tokens - prompt.unshared_tokens)
         cost = (
             wait
             + _REREAD_COST_SECONDS * shared
             + self._compute_distance_cost(engine)
         )
-        held = engine.all_held + prompt.prompt_tokens + prompt.expected_tokens
+        held = (
+            engine.all_held
+            + prompt.prompt_tokens
+            + prompt.expected_output_tokens
+        )
         if memory and held > _MEMORY_FRACTION * memory:
             # A cost and no limit: a prompt may need more memory than is ever
             # free.
@@ -282,7 +286,7 @@
     ) -> float:
         room = _CACHE_FRACTION * memory - engine.all_held
         parts = engine.cached.count_parts(
-            prompt.chain, engine.queue.total, max(room, 0.3 * memory)
+            prompt.prefix_keys, engine.queue.total, max(room, 0.3 * memory)
         )
         known = float(sum(each.tokens for each in prompt.parts[:parts]))
         if position >= len(_ASSUMED_CACHED_FRACTIONS):
@@ -353,7 +357,7 @@
             ratios = self.demand.read_share_ratios(
                 placement_request.client_account, rate
             )
-        own_tokens = min(float(prompt.own_tokens), best.unread_tokens)
+        own_tokens = min(float(prompt.unshared_tokens), best.unread_tokens)
         if placement_request.estimate is None:
             # Counted once per prompt: `reserve` selects a second time after a
             # keeper's answer.
--- a/src/amaranthslip/shares/places.py
+++ b/src/amaranthslip/shares/places.py
@@ -120,8 +120,8 @@
         """Cost of the request, in tokens of engine throughput."""
         if self.prompt is None:
             return 0.0
-        generated = self.prompt.expected_tokens
-        return self.prompt.own_tokens + (
+        generated = self.prompt.expected_output_tokens
+        return self.prompt.unshared_tokens + (
             demand_module.GENERATED_TOKEN_WEIGHT * generated
         )
 
@@ -233,7 +233,7 @@
         engine.running += 1
         if prompt is None:
             return
-        self.held = prompt.prompt_tokens + prompt.expected_tokens
+        self.held = prompt.prompt_tokens + prompt.expected_output_tokens
         engine.held += self.held
         self._queue_mark = engine.queue.add(
             self.unread_tokens,
@@ -241,7 +241,7 @@
             running=running,
             other=self._manager.engines.read_slot_wait(engine, running),
         )
-        engine.cached.note(prompt.chain, engine.queue.total)
+        engine.cached.note(prompt.prefix_keys, engine.queue.total)
 
     def start(self) -> None:
         """Record that the answer has begun."""
--- a/src/amaranthslip/shares/scheduler.py
+++ b/src/amaranthslip/shares/scheduler.py
@@ -412,7 +412,7 @@
         """Move the accounting of a slot from the former owner to a new one."""
         if owner == lease.holder:
             return
-        self._send_finish(lease, outcomes.Outcome.MOVED)
+        self._send_finish(lease, outcomes.Outcome.TRANSFERRED)
         lease.holder = owner
         self._send(owner, self._reporting.build_held(lease))
 
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -35,9 +35,9 @@
     """Return the placement data of a request of a kind."""
     prompt = prompts.Prompt(
         model='m',
-        parts=[prompts.Part('aa', 100), prompts.Part(name, own)],
+        parts=[prompts.PromptPart('aa', 100), prompts.PromptPart(name, own)],
         prompt_tokens=100 + own,
-        most_tokens=50,
+        max_output_tokens=50,
     )
     return places.PlacementRequest(
         service=patterns.SERVICE,
--- a/tests/features/steps/candidates.py
+++ b/tests/features/steps/candidates.py
@@ -16,11 +16,11 @@
 def start(context, count):
     context.environment = placing.Environment(count)
     context.instance = patterns.Instance(context.environment, 'instance-0')
-    parts = [prompts.Part('aa', 2000), prompts.Part('own', 500)]
+    parts = [prompts.PromptPart('aa', 2000), prompts.PromptPart('own', 500)]
     context.prompt = prompts.Prompt(
-        model='m', parts=parts, prompt_tokens=2500, most_tokens=50
+        model='m', parts=parts, prompt_tokens=2500, max_output_tokens=50
     )
-    key = context.prompt.shared_key
+    key = context.prompt.shared_prefix_key
     context.order = sorted(
         (each.name for each in context.environment.servers),
         key=lambda name: identity.rendezvous_hash(key, name),
--- a/tests/features/steps/claims.py
+++ b/tests/features/steps/claims.py
@@ -19,7 +19,7 @@
 from tests.support import standins
 
 _ACCOUNT = 'plant-1'
-_BODY = claim_keys.fingerprint(b'body')
+_BODY = claim_keys.hash_request(b'body')
 _INTERVAL_SECONDS = 0.002
 _TIMEOUT_SECONDS = claim_fleet.TIMEOUT_SECONDS
 
@@ -290,7 +290,7 @@
 @behave.when('the key "{key}" is claimed again with another body')
 def claim_with_other_body(context, key):
     instance = _list_instances(context)[-1]
-    context.again = Attempt(instance, key, claim_keys.fingerprint(b'other'))
+    context.again = Attempt(instance, key, claim_keys.hash_request(b'other'))
 
 
 @behave.then('the claim is granted')
--- a/tests/features/steps/keepers.py
+++ b/tests/features/steps/keepers.py
@@ -47,15 +47,15 @@
 
 def _build_placement_request(fleet, session, own_tokens):
     parts = [
-        prompts.Part('first', 500),
-        prompts.Part(session, 500),
-        prompts.Part(f'own-{len(fleet.sent)}-{own_tokens}', own_tokens),
+        prompts.PromptPart('first', 500),
+        prompts.PromptPart(session, 500),
+        prompts.PromptPart(f'own-{len(fleet.sent)}-{own_tokens}', own_tokens),
     ]
     prompt = prompts.Prompt(
         model='m',
         parts=parts,
         prompt_tokens=1000 + own_tokens,
-        most_tokens=100,
+        max_output_tokens=100,
     )
     return places.PlacementRequest(
         service=patterns.SERVICE,
--- a/tests/features/steps/retries.py
+++ b/tests/features/steps/retries.py
@@ -196,7 +196,7 @@
     for _ in range(count):
         context.budget.note_request('large')
         for tries in range(1, limit + 1):
-            wait = context.budget.take(
+            wait = context.budget.take_retry(
                 'large', 'cut', tries=tries, deadline=2000
             )
             context.allowed += wait is not None
@@ -213,7 +213,7 @@
 @behave.then('the retry budget of another account is still full')
 def check_other_account(context):
     taken = [
-        context.budget.take('small', 'reset', tries=1, deadline=2000)
+        context.budget.take_retry('small', 'reset', tries=1, deadline=2000)
         for _ in range(10)
     ]
     assert None not in taken
@@ -232,7 +232,9 @@
         context.waits[tries] = []
         for _ in range(400):
             context.budget.note_request('a')
-            wait = context.budget.take('a', 'cut', tries=tries, deadline=2000)
+            wait = context.budget.take_retry(
+                'a', 'cut', tries=tries, deadline=2000
+            )
             context.waits[tries].append(wait)
 
 
@@ -251,6 +253,6 @@
 def check_deadline(context):
     for _ in range(200):
         context.budget.note_request('b')
-        wait = context.budget.take('b', 'cut', tries=20, deadline=1001)
+        wait = context.budget.take_retry('b', 'cut', tries=20, deadline=1001)
         assert wait is None or context.now[0] + wait < 1001
     assert context.metrics.read('retries_denied', 'deadline') > 50
--- a/tests/support/quarantine_machine.py
+++ b/tests/support/quarantine_machine.py
@@ -333,9 +333,9 @@
 
     def _is_expired(self):
         # An instance that has recorded only the first crash removes it before
-        # KEEP_SECONDS have passed since the last crash.
+        # RETENTION_SECONDS have passed since the last crash.
         since = self.fleet.now - self.last_crash_at
-        return since >= quarantine.KEEP_SECONDS / 5
+        return since >= quarantine.RETENTION_SECONDS / 5
 
     @stateful.invariant()
     def check_poison_refused(self):
