--- a/src/amaranthslip/entry/accounts.py
+++ b/src/amaranthslip/entry/accounts.py
@@ -7,7 +7,7 @@
 from amaranthslip import errors
 
 
-class Index:
+class AccountIndex:
     """Lookup tables for requests, built from one configuration version."""
 
     __slots__ = ('document', '_accounts_by_key', '_kinds_by_service')
@@ -132,17 +132,17 @@
     )
 
 
-class Accounts:
+class AccountIndexCache:
     """Caches the index of the document in force; rebuilds it on change."""
 
     __slots__ = ('_holder', '_index')
 
     def __init__(self, holder: typing.Any) -> None:
         self._holder = holder
-        self._index = Index(holder.document)
+        self._index = AccountIndex(holder.document)
 
-    def read(self) -> Index:
+    def read(self) -> AccountIndex:
         """Return the index of the document in force."""
         if self._index.document is not self._holder.document:
-            self._index = Index(self._holder.document)
+            self._index = AccountIndex(self._holder.document)
         return self._index
--- a/src/amaranthslip/entry/application.py
+++ b/src/amaranthslip/entry/application.py
@@ -41,14 +41,14 @@
     """
 
     # Whether `Retry-After` may hold a fraction of a second.
-    _fractions = False
+    _fractional_retry_after = False
 
     __slots__ = ('_settings', '_accounts', '_metrics', '_progress')
 
     def __init__(
         self,
         settings: settings_.Settings,
-        accounts: accounts_.Accounts,
+        accounts: accounts_.AccountIndexCache,
         metrics: metrics_.Metrics,
         progress: progress_.Progress,
     ) -> None:
@@ -61,7 +61,7 @@
         self, environ: Environ, start_response: typing.Callable
     ) -> list[bytes]:
         """Answer one request; the signature is that of WSGI."""
-        request_id = self._identify(environ)
+        request_id = self._choose_request_id(environ)
         caller = callers.Caller(
             environ[SOCKET],
             start_response,
@@ -70,7 +70,7 @@
         try:
             self._answer(environ, caller, request_id)
             return []
-        except callers.CallerLeft:
+        except callers.CallerDisconnected:
             self._metrics.count('requests', 'caller_left')
             _log.info('caller_left', extra={'request_id': request_id})
             raise
@@ -79,10 +79,10 @@
             _log.warning('stream_aborted', extra={'request_id': request_id})
             raise
 
-    def _identify(self, environ: Environ) -> str:
+    def _choose_request_id(self, environ: Environ) -> str:
         return uuid.uuid4().hex
 
-    def _sheds(self) -> bool:
+    def _should_close_connection(self) -> bool:
         """Return whether this answer should close its connection.
 
         The caller then sends its next request on a new connection, which a
@@ -111,8 +111,12 @@
         outcome = 'answered' if reply is None else reply.outcome
         # Refused callers usually retry on a new connection and keep the old
         # one open, so many open connections are closed upon refusal.
-        close_refused = self._progress.crowded and outcome != 'answered'
-        if self._progress.stopping or close_refused or self._sheds():
+        close_refused = self._progress.nearly_full and outcome != 'answered'
+        if (
+            self._progress.stopping
+            or close_refused
+            or self._should_close_connection()
+        ):
             caller.closing = True
         self._metrics.count('requests', outcome)
         self._metrics.record('whole', time.monotonic() - arrived)
@@ -154,7 +158,9 @@
             }
             | caller.list_fields(),
         )
-        return failure.build_reply(request_id, fractions=self._fractions)
+        return failure.build_reply(
+            request_id, fractions=self._fractional_retry_after
+        )
 
     def _serve(
         self,
@@ -190,8 +196,8 @@
     def __init__(
         self,
         settings: settings_.Settings,
-        accounts: accounts_.Accounts,
-        attempts: attempts_.Attempts,
+        accounts: accounts_.AccountIndexCache,
+        attempts: attempts_.CallRunner,
         metrics: metrics_.Metrics,
         progress: progress_.Progress,
     ) -> None:
@@ -232,7 +238,7 @@
     def _read_model_request(
         self,
         environ: Environ,
-        index: accounts_.Index,
+        index: accounts_.AccountIndex,
         account: document.ClientAccount,
         request_id: str,
         arrived: float,
@@ -262,7 +268,7 @@
     def _read_plain_request(
         self,
         environ: Environ,
-        index: accounts_.Index,
+        index: accounts_.AccountIndex,
         account: document.ClientAccount,
         request_id: str,
         arrived: float,
@@ -322,7 +328,7 @@
 
 def _list_models(
     environ: Environ,
-    index: accounts_.Index,
+    index: accounts_.AccountIndex,
     account: document.ClientAccount,
 ) -> replies.Reply:
     _check_method(environ, 'GET')
--- a/src/amaranthslip/entry/attempts.py
+++ b/src/amaranthslip/entry/attempts.py
@@ -28,7 +28,7 @@
     """
 
 
-class Attempts:
+class CallRunner:
     """Runs calls, with retries as far as safety and the budget allow.
 
     Parameters
@@ -37,7 +37,7 @@
         Runs each single try.
     retries : RetryBudget
         Limits the retries of each client account.
-    claiming_ : ClaimManager
+    claiming_ : CallClaims
         Settles the claims of idempotency keys.
     metrics : Metrics
         Records the latencies of streams.
@@ -49,7 +49,7 @@
         self,
         tries: tries_.TryRunner,
         retries: retries_.RetryBudget,
-        claiming_: claiming.ClaimManager,
+        claiming_: claiming.CallClaims,
         metrics: typing.Any,
     ) -> None:
         self._tries = tries
@@ -75,7 +75,7 @@
             A request with the same idempotency key is running or has run.
         OutcomeUnknown, BackendFailed
             The request may have run.
-        CallerLeft, AnswerAborted
+        CallerDisconnected, AnswerAborted
             The connection to the caller has to be closed.
         """
         stream = None
@@ -92,9 +92,9 @@
             final_error = _build_final_error(call, error)
             if stream is None or not caller.started:
                 raise final_error from error
-            stream.fail(replies.describe_error(final_error))
+            stream.end_with_error(replies.describe_error(final_error))
         finally:
-            caller.ignore()
+            caller.stop_watching()
             if stream is not None:
                 stream.record()
             if not call.sent:
@@ -138,7 +138,7 @@
                     return reply
                 reason = f'status_{reply.status}'
             except errors.BackendFailed as error:
-                if stream and stream.end_alone():
+                if stream and stream.finish_without_engine():
                     return None
                 if call.sent and not call.kind.idempotent:
                     raise
--- a/src/amaranthslip/entry/callers.py
+++ b/src/amaranthslip/entry/callers.py
@@ -10,7 +10,7 @@
 from amaranthslip.entry import replies
 
 
-class CallerLeft(gevent.GreenletExit):
+class CallerDisconnected(gevent.GreenletExit):
     """The caller closed the connection, so its request is cancelled.
 
     Thrown into the request's greenlet wherever it waits. A subclass of
@@ -49,7 +49,7 @@
         '_write_seconds',
         'started',
         'closing',
-        'note',
+        'summary',
     )
 
     def __init__(
@@ -70,14 +70,14 @@
         self.closing = False
         # Log fields of a request on an operator's route; set once the route
         # and the resources that the request needs are known.
-        self.note: notes.Note | None = None
+        self.summary: notes.RequestSummary | None = None
 
     def list_fields(self) -> dict[str, typing.Any]:
         """Return the extra fields of the log line that ends the request."""
-        return {} if self.note is None else self.note.list_fields()
+        return {} if self.summary is None else self.summary.list_fields()
 
     def watch(self) -> None:
-        """Throw CallerLeft into this greenlet when the caller disconnects.
+        """Throw CallerDisconnected into this greenlet on a disconnect.
 
         Without this, a disconnect while the request is queued or before the
         first byte would be noticed only when the answer is written, and an
@@ -87,16 +87,16 @@
         self._watcher = loop.io(self._socket.fileno(), 1)
         self._watcher.start(self._handle_readable)
 
-    def check(self) -> None:
-        """Raise CallerLeft if the caller has disconnected.
+    def check_connected(self) -> None:
+        """Raise CallerDisconnected if the caller has disconnected.
 
         Reads the socket itself, because a busy event loop may report the
         disconnect late. Used before a request is sent to a server.
         """
         if self._peek() == b'':
-            raise CallerLeft()
+            raise CallerDisconnected()
 
-    def ignore(self) -> None:
+    def stop_watching(self) -> None:
         """Stop watching for a disconnect."""
         if self._watcher is not None:
             self._watcher.stop()
@@ -112,7 +112,7 @@
             return
         self._watcher.stop()
         if not data:
-            self._greenlet.throw(CallerLeft())
+            self._greenlet.throw(CallerDisconnected())
 
     def _peek(self) -> bytes | None:
         """Return the next byte, unread: b'' at the end, None if none came."""
@@ -138,7 +138,7 @@
 
         Raises
         ------
-        CallerLeft
+        CallerDisconnected
             The connection is lost, or a write timed out because the caller
             does not read.
         """
@@ -147,4 +147,4 @@
         except OSError:
             # Handled like a disconnect. A caller that reads nothing could
             # otherwise occupy an engine's slot indefinitely.
-            raise CallerLeft() from None
+            raise CallerDisconnected() from None
--- a/src/amaranthslip/entry/claiming.py
+++ b/src/amaranthslip/entry/claiming.py
@@ -19,7 +19,7 @@
 }
 
 
-class ClaimManager:
+class CallClaims:
     """Claims and settles the idempotency keys of non-idempotent calls.
 
     Parameters
--- a/src/amaranthslip/entry/entry.py
+++ b/src/amaranthslip/entry/entry.py
@@ -78,7 +78,7 @@
         self._holder = holder
         self._stack = contextlib.ExitStack()
         self._progress = progress.Progress()
-        self._claiming = claiming.ClaimManager(claims)
+        self._claiming = claiming.CallClaims(claims)
         self._connections = connections_.Connections(settings)
         tries_ = tries.TryRunner(
             settings,
@@ -93,7 +93,7 @@
                 metrics,
             ),
         )
-        attempts_ = attempts.Attempts(
+        attempts_ = attempts.CallRunner(
             tries_,
             retries.RetryBudget(settings, metrics, random=random),
             self._claiming,
@@ -101,7 +101,7 @@
         )
         application_ = application.ServiceApplication(
             settings,
-            accounts.Accounts(holder),
+            accounts.AccountIndexCache(holder),
             attempts_,
             metrics,
             self._progress,
@@ -126,7 +126,7 @@
     @property
     def running(self) -> int:
         """The number of requests in progress."""
-        return self._progress.read()
+        return self._progress.count_requests()
 
     def start(self) -> None:
         """Start to listen for callers."""
--- a/src/amaranthslip/entry/events.py
+++ b/src/amaranthslip/entry/events.py
@@ -35,12 +35,12 @@
         Id of the request, sent in the answer's headers.
     last_id : int
         Id of the last event that the caller already has.
-    read_hold : callable
+    read_batch_seconds : callable
         Returns for how many seconds events are collected before they are
         forwarded in one write.
     """
 
-    __slots__ = ('last_id', '_caller', '_request_id', '_read_hold')
+    __slots__ = ('last_id', '_caller', '_request_id', '_read_batch_seconds')
 
     def __init__(
         self,
@@ -48,10 +48,10 @@
         request_id: str,
         *,
         last_id: int,
-        read_hold: typing.Callable[[], float] = lambda: 0.0,
+        read_batch_seconds: typing.Callable[[], float] = lambda: 0.0,
     ) -> None:
         self.last_id = last_id
-        self._read_hold = read_hold
+        self._read_batch_seconds = read_batch_seconds
         self._caller = caller
         self._request_id = request_id
 
@@ -64,7 +64,7 @@
         self,
         answer: answers.Answer,
         headers: typing.Sequence[tuple[str, str]],
-        began: typing.Callable[[], None],
+        on_first_bytes: typing.Callable[[], None],
     ) -> None:
         """Forward events until the end of the stream.
 
@@ -74,14 +74,14 @@
             The engine's answer.
         headers : sequence of (str, str)
             Headers for the caller, used if none were sent yet.
-        began : callable
+        on_first_bytes : callable
             Called when the engine's first bytes arrive.
 
         Raises
         ------
         BackendFailed
             The stream was cut off, or an event is missing.
-        CallerLeft
+        CallerDisconnected
             The caller disconnected.
         """
         pending = b''
@@ -89,7 +89,7 @@
         while data := answer.read():
             if first:
                 first = False
-                began()
+                on_first_bytes()
             pending += data
             end = pending.rfind(_EVENT_END) + len(_EVENT_END)
             if end < len(_EVENT_END):
@@ -104,7 +104,7 @@
             self._begin_reply(headers)
 
     def _wait_for_batch(self) -> None:
-        seconds = self._read_hold()
+        seconds = self._read_batch_seconds()
         if seconds >= _MIN_BATCH_SECONDS:
             gevent.sleep(seconds)
 
--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -59,14 +59,14 @@
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
-class Forwarding:
+class Forwarder:
     """Sends routed calls to backend servers and relays their answers.
 
     Parameters
     ----------
     settings : Settings
         The `limits` section is used.
-    reader : RouteReader
+    reader : RouteResolver
         Checks whether the known API keys are recent enough to be trusted.
     keepers : Keepers
         Reserves places at backend servers.
@@ -84,7 +84,7 @@
     metrics : Metrics
         Counts failed tries, retries and denied retries by reason, and records
         the latencies of first events.
-    read_hold : callable
+    read_batch_seconds : callable
         Returns the seconds for which a stream's events are batched before
         they are written to the caller.
     """
@@ -99,13 +99,13 @@
         '_connections',
         '_crash_guard',
         '_metrics',
-        '_read_hold',
+        '_read_batch_seconds',
     )
 
     def __init__(
         self,
         settings: settings_.Settings,
-        reader: routed.RouteReader,
+        reader: routed.RouteResolver,
         keepers: keepers_.Keepers,
         demand: demand_.Demand,
         budget: budget_.FleetBudget,
@@ -114,9 +114,9 @@
         crash_guard: crashes.CrashGuard,
         metrics: metrics_.Metrics,
         *,
-        read_hold: typing.Callable[[], float] = lambda: 0.0,
+        read_batch_seconds: typing.Callable[[], float] = lambda: 0.0,
     ) -> None:
-        self._read_hold = read_hold
+        self._read_batch_seconds = read_batch_seconds
         self._settings = settings
         self._reader = reader
         self._keepers = keepers
@@ -143,7 +143,7 @@
             The request was not run.
         BackendFailed
             The request may have run.
-        CallerLeft, AnswerAborted
+        CallerDisconnected, AnswerAborted
             The connection to the caller has to be closed.
         """
         relay = None
@@ -152,7 +152,7 @@
                 caller,
                 call.request_id,
                 last_id=call.resumed_after,
-                read_hold=self._read_hold,
+                read_batch_seconds=self._read_batch_seconds,
             )
         if (
             call.placement_request.prompt is not None
@@ -180,7 +180,7 @@
                 raise callers.AnswerAborted() from error
             raise outcomes.build_final_error(call, error) from error
         finally:
-            caller.ignore()
+            caller.stop_watching()
 
     def _run_until_deadline(
         self,
@@ -209,7 +209,7 @@
         while True:
             self._reader.check_keys_trusted(call)
             self._crash_guard.check(call)
-            caller.check()
+            caller.check_connected()
             place = self._keepers.reserve(call.placement_request)
             self._count_granted(call)
             call.tries += 1
@@ -219,7 +219,7 @@
                 except errors.BackendFailed as failure:
                     self._record_failure(call, relay, place, failure)
                     self._check_retry_allowed(call, relay, failure)
-                except callers.CallerLeft:
+                except callers.CallerDisconnected:
                     place.cancel()
                     raise
                 except errors.RequestRefused:
--- a/src/amaranthslip/entry/notes.py
+++ b/src/amaranthslip/entry/notes.py
@@ -6,7 +6,7 @@
 from amaranthslip.shares import places
 
 
-class Note:
+class RequestSummary:
     """A request's requirements and the time at which its answer began.
 
     The log record with these fields shows the client account and whether the
@@ -19,10 +19,10 @@
         The placement requirements of the request.
     """
 
-    __slots__ = ('_need', '_answer_started_at')
+    __slots__ = ('_placement_request', '_answer_started_at')
 
     def __init__(self, placement_request: places.PlacementRequest) -> None:
-        self._need = placement_request
+        self._placement_request = placement_request
         self._answer_started_at: float | None = None
 
     def note_answer_start(self, now: float) -> None:
@@ -38,7 +38,7 @@
 
     def list_fields(self) -> dict[str, typing.Any]:
         """Return the fields for the request's final log record."""
-        placement_request = self._need
+        placement_request = self._placement_request
         fields: dict[str, typing.Any] = {
             'service': placement_request.service,
             'client_account': placement_request.client_account,
--- a/src/amaranthslip/entry/prefixes.py
+++ b/src/amaranthslip/entry/prefixes.py
@@ -11,7 +11,7 @@
 _MAX_PREFIXES = 12
 
 
-def write_prompt(values: dict[str, typing.Any]) -> str:
+def render_prompt(values: dict[str, typing.Any]) -> str:
     """Return an approximation of the text that an engine will prefill."""
     prompt = values.get('prompt')
     if isinstance(prompt, str):
--- a/src/amaranthslip/entry/pressure.py
+++ b/src/amaranthslip/entry/pressure.py
@@ -34,7 +34,7 @@
 _MAX_HOLD_FRACTION = 0.4
 
 
-class Pressure:
+class LagMonitor:
     """Measures how late the event loop runs its scheduled callbacks.
 
     An instance with more load than its share of a core can process reads
@@ -51,13 +51,13 @@
 
     Attributes
     ----------
-    hot : bool
+    overloaded : bool
         Whether the instance is overloaded, so that new connections should go
         to other instances.
     """
 
     __slots__ = (
-        'hot',
+        'overloaded',
         '_settings',
         '_clock',
         '_due_at',
@@ -75,13 +75,13 @@
     ) -> None:
         # Only new connections can be directed to other instances; the open
         # ones continue to bring more requests than there is time for.
-        self.hot = False
+        self.overloaded = False
         self._settings = settings
         self._clock = clock
         self._due_at = float('inf')
         self._lag = 0.0
         self._average_lag = 0.0
-        # Time of the last change of `hot`.
+        # Time of the last change of `overloaded`.
         self._hot_changed_at = 0.0
         self._exits = contextlib.ExitStack()
 
@@ -110,7 +110,7 @@
         instance.
         """
         return (
-            self.hot
+            self.overloaded
             and self._clock() - self._hot_changed_at
             >= _PLATFORM_REACTION_SECONDS
         )
@@ -139,12 +139,14 @@
         self._average_lag += _AVERAGE_WEIGHT * (
             counted_lag - self._average_lag
         )
-        threshold = _RECOVERY_SECONDS if self.hot else _OVERLOAD_SECONDS
-        if self.hot != (self._average_lag > threshold):
-            self.hot = not self.hot
+        threshold = _RECOVERY_SECONDS if self.overloaded else _OVERLOAD_SECONDS
+        if self.overloaded != (self._average_lag > threshold):
+            self.overloaded = not self.overloaded
             self._hot_changed_at = now
             _LOG.info(
-                'instance_overloaded' if self.hot else 'instance_recovered',
+                'instance_overloaded'
+                if self.overloaded
+                else 'instance_recovered',
                 extra={'behind_ms': int(1000 * self._average_lag)},
             )
 
--- a/src/amaranthslip/entry/progress.py
+++ b/src/amaranthslip/entry/progress.py
@@ -14,18 +14,18 @@
     stopping : bool
         Whether each answer closes its connection, so that callers reconnect
         to other instances.
-    crowded : bool
+    nearly_full : bool
         Whether most of the allowed connections are open. Error answers then
         close their connections, so that idle ones don't accumulate.
     refusing : bool
         Whether new requests are refused.
     """
 
-    __slots__ = ('stopping', 'crowded', 'refusing', '_count', '_idle')
+    __slots__ = ('stopping', 'nearly_full', 'refusing', '_count', '_idle')
 
     def __init__(self) -> None:
         self.stopping = False
-        self.crowded = False
+        self.nearly_full = False
         self.refusing = False
         self._count = 0
         self._idle = event.Event()
@@ -53,6 +53,6 @@
         """
         return self._idle.wait(seconds)
 
-    def read(self) -> int:
+    def count_requests(self) -> int:
         """Return the number of requests in progress."""
         return self._count
--- a/src/amaranthslip/entry/routed.py
+++ b/src/amaranthslip/entry/routed.py
@@ -101,7 +101,7 @@
         self.kept_connection_broke = False
         # Id of the last stream event that the caller received; 0: none.
         self.resumed_after = facts.resume_after
-        self.summary = notes.Note(placement_request)
+        self.summary = notes.RequestSummary(placement_request)
 
     @property
     def seconds_left(self) -> float:
@@ -109,7 +109,7 @@
         return self.placement_request.deadline - time.monotonic()
 
 
-class RouteReader:
+class RouteResolver:
     """Finds the route of a request and authorises it for a client account.
 
     Parameters
@@ -149,7 +149,7 @@
             The last confirmation by the store is too old; nothing was sent in
             this try.
         """
-        if call.key_authorised and not self.trusts_keys():
+        if call.key_authorised and not self.has_trusted_keys():
             raise _refuse_stale(
                 'keys_unconfirmed',
                 'this instance has had no confirmed configuration for'
@@ -157,14 +157,14 @@
                 ' API key is still valid',
             )
 
-    def trusts_keys(self) -> bool:
+    def has_trusted_keys(self) -> bool:
         """Return whether the known API keys are recent enough to trust."""
         if not self._settings.bounds.fail_closed:
             return True
         return self._freshness.age < self._staleness.trusted_seconds
 
     def find_route(
-        self, index: accounts.Index, host: str, path: str
+        self, index: accounts.AccountIndex, host: str, path: str
     ) -> routes.Route:
         """Return the route of a request.
 
@@ -184,7 +184,7 @@
         )
 
     def authorise(
-        self, index: accounts.Index, route: routes.Route, header: str
+        self, index: accounts.AccountIndex, route: routes.Route, header: str
     ) -> document.ClientAccount | None:
         """Return the client account of a request.
 
@@ -201,7 +201,7 @@
         """
         if route.public or not index.document.client_accounts:
             return None
-        if not self.trusts_keys():
+        if not self.has_trusted_keys():
             raise _refuse_stale(
                 'keys_unconfirmed',
                 'this instance can not verify which API keys are valid',
--- a/src/amaranthslip/entry/routing.py
+++ b/src/amaranthslip/entry/routing.py
@@ -26,17 +26,17 @@
 class RoutedApplication(application.Application):
     """Serves the operator's routes, selected by host and path prefix."""
 
-    _fractions = True
+    _fractional_retry_after = True
 
     __slots__ = ('_reader', '_forwarding', '_pressure', '_random')
 
     def __init__(
         self,
         settings: settings_.Settings,
-        accounts: accounts_.Accounts,
-        reader: routed.RouteReader,
-        forwarding_: forwarding.Forwarding,
-        pressure: pressure_.Pressure,
+        accounts: accounts_.AccountIndexCache,
+        reader: routed.RouteResolver,
+        forwarding_: forwarding.Forwarder,
+        pressure: pressure_.LagMonitor,
         metrics: metrics_.Metrics,
         progress: progress_.Progress,
     ) -> None:
@@ -46,10 +46,12 @@
         self._pressure = pressure
         self._random = random.Random()
 
-    def _identify(self, environ: application.Environ) -> str:
-        return wire.read_attempt_id(environ) or super()._identify(environ)
+    def _choose_request_id(self, environ: application.Environ) -> str:
+        return wire.read_attempt_id(environ) or super()._choose_request_id(
+            environ
+        )
 
-    def _sheds(self) -> bool:
+    def _should_close_connection(self) -> bool:
         return self._pressure.closes_connections
 
     def _dispatch(
@@ -85,7 +87,7 @@
         call = self._reader.build_call(
             environ, placement_request, facts, target, body
         )
-        caller.note = call.summary
+        caller.summary = call.summary
         return self._forwarding.run(call, caller)
 
     def _check_loop_lag(self) -> None:
--- a/src/amaranthslip/entry/server.py
+++ b/src/amaranthslip/entry/server.py
@@ -297,12 +297,14 @@
             self._refuse(sock)
             return
         self._connections += 1
-        self.progress.crowded = self._connections > _CROWDED_FRACTION * limit
+        self.progress.nearly_full = (
+            self._connections > _CROWDED_FRACTION * limit
+        )
         try:
             super().handle(sock, address)
         finally:
             self._connections -= 1
-            self.progress.crowded = (
+            self.progress.nearly_full = (
                 self._connections > _CROWDED_FRACTION * limit
             )
 
--- a/src/amaranthslip/entry/streams.py
+++ b/src/amaranthslip/entry/streams.py
@@ -109,7 +109,7 @@
         options = {'include_usage': True, 'continuous_usage_stats': True}
         return json.dumps(values | {'stream_options': options}).encode()
 
-    def end_alone(self) -> bool:
+    def finish_without_engine(self) -> bool:
         """Write the end of the stream if all tokens were already delivered.
 
         Returns
@@ -170,7 +170,7 @@
             )
         self._gaps.clear()
 
-    def fail(self, failure: replies.Failure) -> typing.NoReturn:
+    def end_with_error(self, failure: replies.Failure) -> typing.NoReturn:
         """End a begun stream with an error that marks it as incomplete."""
         error = failure.encode(self._call.request_id)
         self._caller.write(b'data: ' + error + b'\n\n')
--- a/src/amaranthslip/entry/tickets.py
+++ b/src/amaranthslip/entry/tickets.py
@@ -28,7 +28,7 @@
     """
     estimate, hashes = PLAIN_COST, ()
     if call.values is not None:
-        prompt = prefixes.write_prompt(call.values)
+        prompt = prefixes.render_prompt(call.values)
         hashes = prefixes.hash_prefixes(prompt)
         prompt_tokens = len(prompt) / _CHARACTERS_PER_TOKEN
         estimate = estimator.estimate(
--- a/src/amaranthslip/entry/tries.py
+++ b/src/amaranthslip/entry/tries.py
@@ -58,7 +58,7 @@
         `limits.answer_bytes` is used.
     scheduler : Scheduler
         Grants slots at backend servers.
-    claiming_ : ClaimManager
+    claiming_ : CallClaims
         Claims the idempotency keys of calls.
     estimator : object
         Estimates the cost of model requests from earlier ones.
@@ -84,7 +84,7 @@
         self,
         settings: settings_.Settings,
         scheduler: scheduling.Scheduler,
-        claiming_: claiming.ClaimManager,
+        claiming_: claiming.CallClaims,
         estimator: typing.Any,
         metrics: metrics_.Metrics,
         connections: connections_.Connections,
@@ -138,7 +138,7 @@
                 # The request continues when the caller disconnects, so that
                 # its claim records the outcome for later requests with the
                 # same idempotency key.
-                caller.ignore()
+                caller.stop_watching()
             with self._send(call, body, grant_use) as answer:
                 return self._relay(call, stream, answer, grant_use)
 
@@ -174,7 +174,7 @@
             call.sent = sent_before
             grant_use.outcome = outcomes.Outcome.UNUSED
             raise
-        except callers.CallerLeft:
+        except callers.CallerDisconnected:
             grant_use.outcome = outcomes.Outcome.CANCELLED
             raise
 
--- a/src/amaranthslip/operated.py
+++ b/src/amaranthslip/operated.py
@@ -187,7 +187,7 @@
     def _build_entry(self) -> None:
         settings = self._settings
         outliers = outliers_module.Outliers(self.metrics)
-        self._pressure = pressure.Pressure(settings)
+        self._pressure = pressure.LagMonitor(settings)
         self._engines = engines_module.Engines(self._directory, outliers)
         demands = demand.Demand(lambda: settings.bounds.share_window_seconds)
         server_placement = placement.Placement(
@@ -210,8 +210,8 @@
             self._roster, self._links, demands, self._holder
         )
         self._connections = connections.Connections(settings)
-        self._reader = routed.RouteReader(settings, self._freshness)
-        request_forwarding = forwarding.Forwarding(
+        self._reader = routed.RouteResolver(settings, self._freshness)
+        request_forwarding = forwarding.Forwarder(
             settings,
             self._reader,
             self._keepers,
@@ -225,11 +225,11 @@
                 self.metrics,
             ),
             self.metrics,
-            read_hold=lambda: self._pressure.hold_seconds,
+            read_batch_seconds=lambda: self._pressure.hold_seconds,
         )
         application = routing.RoutedApplication(
             settings,
-            accounts.Accounts(self._holder),
+            accounts.AccountIndexCache(self._holder),
             self._reader,
             request_forwarding,
             self._pressure,
@@ -309,8 +309,8 @@
             not self._progress.stopping
             and self._holder.ready
             and len(self._directory) > 0
-            and self._reader.trusts_keys()
-            and not self._pressure.hot
+            and self._reader.has_trusted_keys()
+            and not self._pressure.overloaded
         )
 
     def stop(self) -> bool:
@@ -327,7 +327,10 @@
         """
         shutdown = self._settings.shutdown
         deadline = time.monotonic() + shutdown.finish_seconds
-        _LOG.info('router_stopping', extra={'requests': self._progress.read()})
+        _LOG.info(
+            'router_stopping',
+            extra={'requests': self._progress.count_requests()},
+        )
         self._progress.stopping = True
         gevent.sleep(shutdown.notice_seconds)
         self._progress.refusing = True
--- a/tests/features/steps/operated.py
+++ b/tests/features/steps/operated.py
@@ -827,7 +827,7 @@
 @behave.when('the event loop is {seconds:g} seconds behind schedule')
 def set_lag(context, seconds):
     patched = mock.patch.object(
-        pressure.Pressure, 'read_lag', lambda self: seconds
+        pressure.LagMonitor, 'read_lag', lambda self: seconds
     )
     patched.start()
     context.add_cleanup(patched.stop)
--- a/tests/features/steps/pressure.py
+++ b/tests/features/steps/pressure.py
@@ -12,7 +12,7 @@
 @behave.given('an instance whose lag samples are due every 0.05 seconds')
 def build_pressure(context):
     context.now = 1000.0
-    context.pressure = pressure.Pressure(
+    context.pressure = pressure.LagMonitor(
         callers.build_settings(bounds={'relay_milliseconds': 200}),
         clock=lambda: context.now,
     )
@@ -53,12 +53,12 @@
 
 @behave.then('the instance is overloaded')
 def check_overloaded(context):
-    assert context.pressure.hot
+    assert context.pressure.overloaded
 
 
 @behave.then('the instance is not overloaded')
 def check_not_overloaded(context):
-    assert not context.pressure.hot
+    assert not context.pressure.overloaded
 
 
 @behave.then('its open connections {are} closed after their answers')
@@ -108,7 +108,7 @@
 def relay_stream(context, count, gap, hold):
     stream = context.stream = Stream(count, gap)
     relay = events.EventRelay(
-        stream, 'a-1', last_id=-1, read_hold=lambda: hold
+        stream, 'a-1', last_id=-1, read_batch_seconds=lambda: hold
     )
     with mock.patch.object(events.gevent, 'sleep', stream.sleep):
         relay.relay(stream, [], lambda: None)
