--- a/bench/member_slopes.py
+++ b/bench/member_slopes.py
@@ -14,12 +14,12 @@
 
 from amaranthslip.links import codec
 from amaranthslip.links import registry
-from amaranthslip.members import beliefs
 from amaranthslip.members import clock
 from amaranthslip.members import members
 from amaranthslip.members import messages
 from amaranthslip.members import rendezvous
 from amaranthslip.members import roster
+from amaranthslip.members import states
 from amaranthslip import metrics
 from bench import slope
 from tests.support import live_fleet
@@ -171,7 +171,7 @@
     with gevent.Timeout(
         _JOIN_TIMEOUT_SECONDS, RuntimeError('the members did not all join')
     ):
-        while not all(len(each.roster.live()) == count for each in fleet):
+        while not all(len(each.roster.list_live()) == count for each in fleet):
             gevent.sleep(0.1)
     return time.monotonic() - started
 
@@ -236,18 +236,20 @@
     counters = metrics.Metrics()
     settings = member_settings.build('poa-a-0')
     tracemalloc.start()
-    member_beliefs = beliefs.Beliefs(
+    member_states = states.MemberStates(
         settings, known, _NullOutbox(), counters, clock.Clock()
     )
     for index in range(1, count):
-        member_beliefs.learn(beliefs.describe(_build_member(index)))
-    while len(member_beliefs.rumours):
-        member_beliefs.gather()
+        member_states.apply(states.describe(_build_member(index)))
+    while len(member_states.gossip):
+        member_states.select_news()
     allocated = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    answer = messages.ProbeAnswer(number=1, news=member_beliefs.gather_all())
-    names = [member.name for member in known.live()]
-    known_news = beliefs.describe(_build_member(1))
+    answer = messages.ProbeAnswer(
+        number=1, news=member_states.list_roster_news()
+    )
+    names = [member.name for member in known.list_live()]
+    known_news = states.describe(_build_member(1))
     return [
         slope.Slope('roster', allocated / count, 'bytes a known member'),
         slope.Slope('whole roster', len(codec.encode([answer])), 'bytes'),
@@ -270,22 +272,22 @@
         slope.Slope(
             'news already known',
             slope.time_call(
-                functools.partial(member_beliefs.learn, known_news),
+                functools.partial(member_states.apply, known_news),
                 count=_TIMED_CALLS,
             ),
             'us',
         ),
         slope.Slope(
             'gather news',
-            slope.time_call(member_beliefs.gather, count=_TIMED_CALLS),
+            slope.time_call(member_states.select_news, count=_TIMED_CALLS),
             'us',
         ),
     ]
 
 
 def _list_live_after_change(known: roster.Roster) -> None:
-    known.note_change()
-    known.live()
+    known.invalidate()
+    known.list_live()
 
 
 def _build_member(index: int) -> members.Member:
@@ -373,7 +375,7 @@
     count: int,
 ) -> float:
     started = network.now
-    while any(len(each.roster.live()) != count for each in fleet):
+    while any(len(each.roster.list_live()) != count for each in fleet):
         network.advance(0.5)
         if network.now > started + _AGREEMENT_TIMEOUT_SECONDS:
             raise RuntimeError('the members did not agree on the live members')
--- a/examples/claims.py
+++ b/examples/claims.py
@@ -68,7 +68,7 @@
         self.instances: dict[str, claims.Claims] = {}
         self.generation = 0
 
-    def live(self) -> list[types.SimpleNamespace]:
+    def list_live(self) -> list[types.SimpleNamespace]:
         """Return the live members; collectors are picked by their names."""
         return [types.SimpleNamespace(name=name) for name in self.instances]
 
--- a/examples/members.py
+++ b/examples/members.py
@@ -63,7 +63,7 @@
         )
         member = members.Member(
             name=name,
-            incarnation=incarnations.draw(time.time()),
+            incarnation=incarnations.create(time.time()),
             address='',
             failure_domain=checked.instance.failure_domain,
             region=checked.instance.region,
@@ -90,7 +90,7 @@
         self.links.close()
 
     def read_live_names(self) -> list[str]:
-        return [member.name for member in self.roster.live()]
+        return [member.name for member in self.roster.list_live()]
 
 
 def wait_for_agreement(
--- a/src/amaranthslip/capacity/directory.py
+++ b/src/amaranthslip/capacity/directory.py
@@ -14,7 +14,7 @@
 # guarantees that running servers register again within about two seconds,
 # and a server that has really left must get no request more than two seconds
 # after its entry was removed.
-MISSING_SECONDS = 1.8
+MISSING_ENTRY_GRACE_SECONDS = 1.8
 # Bounds the memory used for incarnations that reported that they are leaving.
 _MAX_REPORTED_LEAVING = 4096
 # Upper bound, in seconds, of the backoff that one response can set.
@@ -83,7 +83,9 @@
         self._delete_missing()
         return [self._servers[name] for name in sorted(self._servers)]
 
-    def note_return(self, seconds: float = MISSING_SECONDS) -> None:
+    def start_grace_period(
+        self, seconds: float = MISSING_ENTRY_GRACE_SECONDS
+    ) -> None:
         """Start the grace period because the registry recovered.
 
         Parameters
@@ -96,7 +98,7 @@
         self._grace_until = max(self._grace_until, self._clock() + seconds)
 
     @property
-    def lapse_seconds(self) -> float:
+    def grace_seconds(self) -> float:
         """Seconds that remain of the grace period, or 0."""
         return max(0.0, self._grace_until - self._clock())
 
--- a/src/amaranthslip/capacity/engines.py
+++ b/src/amaranthslip/capacity/engines.py
@@ -5,7 +5,7 @@
 
 from amaranthslip.capacity import directory as directory_module
 from amaranthslip.capacity import outliers as outliers_module
-from amaranthslip.capacity import reading
+from amaranthslip.capacity import prefill
 from amaranthslip.configuration import document
 
 # Seconds for which this instance sends nothing to a server that rejected a
@@ -23,40 +23,40 @@
 
     `running` is the number of this instance's requests in progress on the
     server, and `held` the number of tokens of server memory that they occupy.
-    `others_running` and `others_held` are the last known values for all other
-    instances together.
+    `remote_running` and `remote_held_tokens` are the last known values for all
+    other instances together.
     """
 
     __slots__ = (
         'server',
         'queue',
-        'cached',
+        'prefix_cache',
         'running',
         'held',
-        'others_running',
-        'others_held',
-        'full_until',
+        'remote_running',
+        'remote_held_tokens',
+        'paused_until',
     )
 
     def __init__(self, server: document.ListedServer, now: float) -> None:
         self.server = server
-        self.queue = reading.PrefillQueue(now=now)
-        self.cached = reading.CachedPrompts()
+        self.queue = prefill.PrefillQueue(now=now)
+        self.prefix_cache = prefill.CachedPrompts()
         self.running = 0
         self.held = 0
-        self.others_running = 0
-        self.others_held = 0
-        self.full_until = 0.0
+        self.remote_running = 0
+        self.remote_held_tokens = 0
+        self.paused_until = 0.0
 
     @property
-    def all_running(self) -> int:
+    def total_running(self) -> int:
         """Requests in progress on the server, from all instances."""
-        return self.running + self.others_running
+        return self.running + self.remote_running
 
     @property
-    def all_held(self) -> int:
+    def total_held_tokens(self) -> int:
         """Tokens of server memory in use, by all instances."""
-        return self.held + self.others_held
+        return self.held + self.remote_held_tokens
 
 
 class Engines:
@@ -134,11 +134,11 @@
         """Return the remaining seconds of an engine's backoff, or 0."""
         return self._directory.read_backoff(engine.server)
 
-    def note_full(self, engine: Engine) -> None:
+    def record_full(self, engine: Engine) -> None:
         """Record that a server rejected a request because it was full."""
-        engine.full_until = self._clock() + _FULL_PAUSE_SECONDS
+        engine.paused_until = self._clock() + _FULL_PAUSE_SECONDS
 
-    def note_run(self, engine: Engine, seconds: float) -> None:
+    def record_stream_seconds(self, engine: Engine, seconds: float) -> None:
         """Record the seconds from the first event to the end of a stream."""
         service = engine.server.service
         mean = self._mean_stream_seconds.get(service, _INITIAL_STREAM_SECONDS)
--- a/src/amaranthslip/capacity/outliers.py
+++ b/src/amaranthslip/capacity/outliers.py
@@ -109,7 +109,7 @@
             and now - record.probe_since >= _PROBE_TIMEOUT_SECONDS
         )
 
-    def begin(self, server: str) -> None:
+    def note_request(self, server: str) -> None:
         """Record a request sent; on an ejected server it is a probe."""
         record = self._records.get(server)
         if record is not None and record.ejected_until is not None:
@@ -170,7 +170,7 @@
             return self._eject(server, record, 'failures')
         return 0.0
 
-    def hear(
+    def apply_remote_ejection(
         self,
         server: str,
         service: str,
--- a/src/amaranthslip/capacity/reading.py
+++ b/src/amaranthslip/capacity/prefill.py
@@ -27,7 +27,7 @@
 _MIN_SAMPLE_TOKENS = 4000.0
 # Seconds from the end of prefill to the arrival of the first event at this
 # instance: one engine step, and the network time in both directions.
-OVERHEAD_SECONDS = 0.03
+FIRST_EVENT_OVERHEAD_SECONDS = 0.03
 # Weight of one sample in the estimate of the delay per running request.
 _CONGESTION_GAIN = 0.05
 # Upper bound, in seconds, of the delay that one running request adds to the
@@ -131,7 +131,9 @@
             Other requests in progress on the engine.
         """
         reading = (self.read_backlog(now) + tokens) / self.rate
-        return reading + self.congestion * running + OVERHEAD_SECONDS
+        return (
+            reading + self.congestion * running + FIRST_EVENT_OVERHEAD_SECONDS
+        )
 
     def add(
         self,
@@ -198,7 +200,7 @@
 
     def _update_estimates(self, mark: Mark, now: float) -> None:
         tokens = mark.ahead + mark.tokens
-        seconds = now - mark.sent - OVERHEAD_SECONDS - mark.other
+        seconds = now - mark.sent - FIRST_EVENT_OVERHEAD_SECONDS - mark.other
         self._update_congestion(mark, seconds - tokens / self.rate)
         seconds -= self.congestion * mark.running
         if tokens < _MIN_SAMPLE_TOKENS or seconds <= 0:
--- a/src/amaranthslip/capacity/slots.py
+++ b/src/amaranthslip/capacity/slots.py
@@ -83,7 +83,7 @@
         '_peaks',
         '_external_loads',
         '_fixed',
-        'open_from',
+        'grants_from',
     )
 
     def __init__(
@@ -91,14 +91,14 @@
         server: str,
         slots: int,
         *,
-        open_from: float = 0.0,
+        grants_from: float = 0.0,
         fixed: bool = False,
         clock: typing.Callable[[], float] = time.monotonic,
     ) -> None:
         self.server = server
         self.limit = limits.Limit(slots)
         self.holdings: dict[int, Holding] = {}
-        self.open_from = open_from
+        self.grants_from = grants_from
         self._fixed = fixed
         self._clock = clock
         self._peaks: collections.deque = collections.deque()
@@ -116,7 +116,7 @@
             partition, 1.0 if all members are reachable; with `fixed`, that
             of this instance alone.
         """
-        if self._clock() < self.open_from:
+        if self._clock() < self.grants_from:
             return 0
         return max(0, self.get_allowance(fraction) - len(self.holdings))
 
--- a/src/amaranthslip/configuration/relaying.py
+++ b/src/amaranthslip/configuration/relaying.py
@@ -155,23 +155,23 @@
         elapsed = self._freshness.read_clock() - self._last_relayed_at
         return elapsed >= self._staleness.stamp_interval_seconds
 
-    def relay_changes(self, revision: int, lapse_seconds: float = 0.0) -> None:
+    def relay_changes(self, revision: int, grace_seconds: float = 0.0) -> None:
         """Send all listeners the changes up to a store revision.
 
         Parameters
         ----------
         revision : int
             The store revision up to which all changes are known here.
-        lapse_seconds : float
+        grace_seconds : float
             Seconds for which servers whose entry is missing stay in use.
         """
         self._drop_silent_listeners()
         self._last_relayed_at = self._freshness.read_clock()
         for name in self._listeners:
-            self.send_changes(name, revision, lapse_seconds)
+            self.send_changes(name, revision, grace_seconds)
 
     def send_changes(
-        self, name: str, revision: int, lapse_seconds: float
+        self, name: str, revision: int, grace_seconds: float
     ) -> None:
         """Send one listener the changes it lacks; see `relay_changes`."""
         listener = self._listeners[name]
@@ -183,7 +183,7 @@
                 revision=max(after, revision),
                 echo=listener.find_stamp(self._freshness.confirmed),
                 entries=self.changes.list_since(after),
-                lapse=int(lapse_seconds * 1000),
+                lapse=int(grace_seconds * 1000),
             ),
         )
         if sent:
--- a/src/amaranthslip/configuration/sources.py
+++ b/src/amaranthslip/configuration/sources.py
@@ -40,7 +40,7 @@
     generation: int
     member: members.Member
 
-    def live(self) -> tuple[members.Member, ...]:
+    def list_live(self) -> tuple[members.Member, ...]:
         """Return the members in service."""
 
 
@@ -118,7 +118,7 @@
 
     def is_alone(self) -> bool:
         """Return whether the roster lists no other live instance."""
-        return len(self._roster.live()) < 2
+        return len(self._roster.list_live()) < 2
 
     def list_sources(self) -> list[str]:
         """Return the instances that this instance receives changes from.
@@ -153,7 +153,7 @@
         if self._generation == self._roster.generation:
             return
         self._generation = self._roster.generation
-        live = self._roster.live()
+        live = self._roster.list_live()
         self._candidates = tuple(
             _rank_candidates(live)[:_MAX_WATCHER_CANDIDATES]
         )
--- a/src/amaranthslip/configuration/spread.py
+++ b/src/amaranthslip/configuration/spread.py
@@ -297,7 +297,7 @@
             self._outbox.send(peer, messages.VersionRequest(version=0))
 
     def _list_peers(self) -> list[str]:
-        live = self._roster.live()
+        live = self._roster.list_live()
         return [each.name for each in live if each.name != self._name]
 
     def _has_enough_answers(self) -> bool:
--- a/src/amaranthslip/configuration/watchers.py
+++ b/src/amaranthslip/configuration/watchers.py
@@ -16,7 +16,7 @@
 
     generation: int
 
-    def live(self) -> tuple[members.Member, ...]:
+    def list_live(self) -> tuple[members.Member, ...]:
         """Return the members in service."""
 
 
@@ -41,7 +41,7 @@
         """Return the names of the watchers, highest rank first."""
         if self._generation != self._roster.generation:
             self._generation = self._roster.generation
-            self._names = _select_watchers(self._roster.live())
+            self._names = _select_watchers(self._roster.list_live())
         return self._names
 
     def includes(self, name: str) -> bool:
@@ -54,7 +54,7 @@
 
     def is_alone(self) -> bool:
         """Return whether the roster lists no other live instance."""
-        return len(self._roster.live()) < 2
+        return len(self._roster.list_live()) < 2
 
 
 def _select_watchers(live: typing.Iterable[members.Member]) -> tuple[str, ...]:
--- a/src/amaranthslip/entries.py
+++ b/src/amaranthslip/entries.py
@@ -62,12 +62,12 @@
         return self._holder.ready
 
     @property
-    def lapse_seconds(self) -> float:
+    def grace_seconds(self) -> float:
         """Seconds for which servers whose entry is missing stay in use."""
-        return self._directory.lapse_seconds
+        return self._directory.grace_seconds
 
-    def note_return(
-        self, seconds: float = directory_module.MISSING_SECONDS
+    def start_grace_period(
+        self, seconds: float = directory_module.MISSING_ENTRY_GRACE_SECONDS
     ) -> None:
         """Record that the store answers again and may still lack some entries.
 
@@ -77,7 +77,7 @@
             Seconds for which backend servers whose entry is missing stay in
             use.
         """
-        self._directory.note_return(seconds)
+        self._directory.start_grace_period(seconds)
 
     def replace(self, entries: typing.Iterable[keyvalue.Entry]) -> None:
         """Replace all known entries by those of a full read."""
--- a/src/amaranthslip/following.py
+++ b/src/amaranthslip/following.py
@@ -268,7 +268,7 @@
         self._relaying.record_stamp(sender, message)
         if message.missed and self._revision is not None:
             self._relaying.send_changes(
-                sender, self._revision, self._entries.lapse_seconds
+                sender, self._revision, self._entries.grace_seconds
             )
 
     def take_loss(self, sender: str) -> None:
@@ -291,7 +291,7 @@
         if self._revision is None:
             return
         if message.lapse:
-            self._entries.note_return(message.lapse / 1000)
+            self._entries.start_grace_period(message.lapse / 1000)
         if message.after > self._revision:
             # Changes in between were lost, or are still under way. A stamp
             # requests them at once, and nothing is confirmed until they
@@ -316,7 +316,7 @@
             self._last_watcher_index is None and self._relaying.is_message_due
         ):
             self._relaying.relay_changes(
-                self._revision, self._entries.lapse_seconds
+                self._revision, self._entries.grace_seconds
             )
 
     def _confirm_from_sources(self, timestamp: float) -> None:
@@ -357,7 +357,7 @@
             confirmed_at += wait_seconds
         self._confirm(confirmed_at)
         self._relaying.relay_changes(
-            self._revision, self._entries.lapse_seconds
+            self._revision, self._entries.grace_seconds
         )
         if answer.entries:
             # Changes that occur together are fetched by one call.
@@ -407,7 +407,7 @@
                 # No source confirmed anything during the failure, so the store
                 # was down for all instances, and entries of live servers may
                 # have expired.
-                self._entries.note_return()
+                self._entries.start_grace_period()
             self._store_lost_at = None
             _LOG.info(
                 'store_regained', extra={'age': round(self._freshness.age, 3)}
--- a/src/amaranthslip/members/detector.py
+++ b/src/amaranthslip/members/detector.py
@@ -14,15 +14,15 @@
 
 import gevent
 
-from amaranthslip.members import beliefs as beliefs_module
 from amaranthslip.members import clock as clock_module
+from amaranthslip.members import gossip as gossip_module
 from amaranthslip.members import members
 from amaranthslip.members import messages
 from amaranthslip.members import outbox as outbox_module
-from amaranthslip.members import partners
+from amaranthslip.members import probe_targets
 from amaranthslip.members import roster as roster_module
-from amaranthslip.members import rumours
 from amaranthslip.members import seeds as seeds_module
+from amaranthslip.members import states as states_module
 from amaranthslip import metrics as metrics_module
 from amaranthslip import settings as settings_module
 
@@ -84,10 +84,10 @@
         Counts changes of member states in `members`.
     instance_list : InstanceList or None
         The platform's list of instances, for the discovery of members.
-    heard_version : callable or None
+    on_version : callable or None
         Called on each received probe and answer, with the name of the sender
         and the version of the configuration in force there.
-    read_version : callable or None
+    get_version : callable or None
         Returns the version of the configuration in force at this instance.
     clock : Clock or None
         Time source; tests pass a virtual clock.
@@ -100,11 +100,11 @@
         '_roster',
         '_outbox',
         '_metrics',
-        '_heard_version',
-        '_read_version',
+        '_on_version',
+        '_get_version',
         '_clock',
         '_random',
-        '_beliefs',
+        '_states',
         '_seeds',
         '_probe_order',
         '_lost_names',
@@ -128,8 +128,8 @@
         metrics: metrics_module.Metrics,
         *,
         instance_list: seeds_module.InstanceList | None = None,
-        heard_version: HeardVersion | None = None,
-        read_version: ReadVersion | None = None,
+        on_version: HeardVersion | None = None,
+        get_version: ReadVersion | None = None,
         clock: clock_module.Clock | None = None,
         seed: int | None = None,
     ) -> None:
@@ -137,15 +137,15 @@
         self._roster = roster
         self._outbox = outbox
         self._metrics = metrics
-        self._heard_version = heard_version
-        self._read_version = read_version
+        self._on_version = on_version
+        self._get_version = get_version
         self._clock = clock or clock_module.Clock()
         self._random = random.Random(seed)
-        self._beliefs = beliefs_module.Beliefs(
+        self._states = states_module.MemberStates(
             settings, roster, outbox, metrics, self._clock
         )
         self._seeds = seeds_module.Seeds(
-            instance_list, roster, self._beliefs, outbox
+            instance_list, roster, self._states, outbox
         )
         self._probe_order: list[str] = []
         self._lost_names: list[str] = []
@@ -176,7 +176,7 @@
         Probes are answered until `close`, so that a leaving instance that
         still finishes requests is not declared dead.
         """
-        self._beliefs.leave()
+        self._states.leave()
         for member in self._choose_members(_LEAVE_PROBES, set()):
             self._send_probe(member.name)
 
@@ -211,7 +211,7 @@
         self._report_version(sender, message.config_version)
         news = self._select_news(sender)
         if message.wants_roster:
-            news = self._beliefs.gather_all()
+            news = self._states.list_roster_news()
         answer = messages.ProbeAnswer(
             number=message.number,
             news=news,
@@ -225,7 +225,7 @@
     ) -> None:
         self._apply_news(message.news)
         self._report_version(sender, message.config_version)
-        self._beliefs.confirm_leaving(sender)
+        self._states.confirm_leaving(sender)
         if not message.target:
             self._wants_roster = False
         if message.number == self._awaited_number:
@@ -257,8 +257,8 @@
         # probing at the same moments.
         self._sleep(self._random.random() * self._get_period_seconds())
         while True:
-            self._beliefs.expire()
-            self._beliefs.report()
+            self._states.expire()
+            self._states.report()
             self._probe_lost_members()
             name = self._next_target()
             if name is None:
@@ -288,7 +288,7 @@
     def _probe(self, name: str) -> None:
         period = self._get_period_seconds()
         wait = self._settings.members.probe_timeout_seconds
-        wait = min(wait * (1 + self._beliefs.local_health_score), period)
+        wait = min(wait * (1 + self._states.local_health_score), period)
         self._answered = self._paused = False
         self._awaited_number = self._send_probe(name)
         self._sleep(wait)
@@ -297,15 +297,15 @@
         self._sleep(period - wait)
         if self._answered:
             self._consecutive_misses = 0
-            self._beliefs.lower_local_health_score()
+            self._states.lower_local_health_score()
         elif not self._paused:
             self._handle_missing_answer(name)
 
     def _handle_missing_answer(self, name: str) -> None:
         self._consecutive_misses += 1
         if self._consecutive_misses >= _LOCAL_FAULT_MISSES:
-            self._beliefs.raise_local_health_score()
-        self._beliefs.suspect(name)
+            self._states.raise_local_health_score()
+        self._states.suspect(name)
         # Notify the suspect at once: if it is alive, it refutes the suspicion.
         self._send_probe(name)
 
@@ -321,7 +321,7 @@
         self, count: int, excluded: set[str]
     ) -> list[members.Member]:
         excluded = excluded | {self._roster.member.name}
-        live = self._roster.live()
+        live = self._roster.list_live()
         wanted = min(count + len(excluded), len(live))
         chosen = self._random.sample(live, wanted)
         return [m for m in chosen if m.name not in excluded][:count]
@@ -332,7 +332,9 @@
             if member is not None and member.state is not _DEAD:
                 return member.name
         names = [m.name for m in self._roster if m.state is not _DEAD]
-        self._probe_order = partners.choose(self._roster.member.name, names)
+        self._probe_order = probe_targets.choose(
+            self._roster.member.name, names
+        )
         self._random.shuffle(self._probe_order)
         return self._probe_order.pop() if self._probe_order else None
 
@@ -347,18 +349,18 @@
         unprobed = self._seeds.next_unprobed()
         if unprobed is not None:
             self._send_probe(unprobed)
-        if len(self._roster.live()) < 2:
+        if len(self._roster.list_live()) < 2:
             self._wants_roster = True
             for _ in range(_JOIN_PROBES):
                 self._probe_lost_member()
-        elif self._beliefs.recheck_names:
-            self._send_probe(self._beliefs.recheck_names.popleft())
+        elif self._states.recheck_names:
+            self._send_probe(self._states.recheck_names.popleft())
         elif self._periods % _LOST_PROBE_PERIODS == 0:
             self._probe_lost_member()
 
     def _probe_lost_member(self) -> None:
         if not self._lost_names:
-            self._lost_names = self._beliefs.dead + self._seeds.unknown
+            self._lost_names = self._states.dead + self._seeds.unknown
             self._random.shuffle(self._lost_names)
         if self._lost_names:
             self._send_probe(self._lost_names.pop())
@@ -380,15 +382,15 @@
         if known is None:
             return []
         if known.state is _ALIVE:
-            return self._beliefs.gather()
+            return self._states.select_news()
         if known.state is members.MemberState.LEAVING:
-            leaving = beliefs_module.describe(known)
-            return [*self._beliefs.gather(), leaving]
+            leaving = states_module.describe(known)
+            return [*self._states.select_news(), leaving]
         # The probe contains the state recorded for the target, so that the
         # target can refute it. No queued gossip is sent: each piece is sent
         # a limited number of times only, and the target may be gone or in
         # the other half of a partition.
-        return [beliefs_module.describe(known)]
+        return [states_module.describe(known)]
 
     def _set_answer_address(self, hello: messages.Hello) -> None:
         # After a restart with a clock that was set back, the incarnation is
@@ -405,9 +407,9 @@
     def _apply_news(self, news: typing.Sequence[messages.News]) -> None:
         # A whole roster contains nothing new to the fleet, so it is not
         # gossiped.
-        gossip = len(news) <= rumours.MAX_NEWS
+        gossip = len(news) <= gossip_module.MAX_NEWS
         for item in news:
-            self._beliefs.learn(item, gossip=gossip)
+            self._states.apply(item, gossip=gossip)
 
     def _sleep(self, seconds: float) -> None:
         before = self._clock.now()
@@ -415,7 +417,7 @@
         gap = self._clock.now() - before - seconds
         if gap > self._settings.members.probe_timeout_seconds:
             self._paused = True
-            self._beliefs.extend_suspicions(gap)
+            self._states.extend_suspicions(gap)
         if gap > self._settings.members.suspect_seconds:
             # A whole roster is requested only after a long pause: requests
             # after each short stall would keep an overloaded instance
@@ -424,11 +426,11 @@
 
     def _get_period_seconds(self) -> float:
         seconds = self._settings.members.probe_seconds
-        return seconds * (1 + self._beliefs.local_health_score)
+        return seconds * (1 + self._states.local_health_score)
 
     def _report_version(self, sender: str, version: int) -> None:
-        if self._heard_version is not None:
-            self._heard_version(sender, version)
+        if self._on_version is not None:
+            self._on_version(sender, version)
 
     def _get_own_version(self) -> int:
-        return 0 if self._read_version is None else self._read_version()
+        return 0 if self._get_version is None else self._get_version()
--- a/src/amaranthslip/members/rumours.py
+++ b/src/amaranthslip/members/gossip.py
@@ -33,7 +33,7 @@
         self.sends = 0
 
 
-class Rumours:
+class GossipQueue:
     """Queue of news to be gossiped, with the latest news of each member."""
 
     __slots__ = ('_pending',)
--- a/src/amaranthslip/members/incarnations.py
+++ b/src/amaranthslip/members/incarnations.py
@@ -13,7 +13,7 @@
 _LIMIT = 1 << 63
 
 
-def draw(wall_seconds: float) -> int:
+def create(wall_seconds: float) -> int:
     """Return the incarnation of an instance that starts at this time.
 
     Parameters
@@ -24,7 +24,7 @@
     return int(wall_seconds * 1000) << _REFUTATION_BITS
 
 
-def start_of(incarnation: int) -> int:
+def get_start(incarnation: int) -> int:
     """Return the start part of an incarnation, without the refutations."""
     return incarnation >> _REFUTATION_BITS
 
@@ -44,9 +44,9 @@
     received : int
         The incarnation that peers believe in, at least as high as `own`.
     """
-    if start_of(received) == start_of(own):
+    if get_start(received) == get_start(own):
         return received + 1
     # `received` belongs to an earlier start under this name, when the clock
     # was ahead. The result is a new start, not a refutation, so that the
     # peers recognise the restart.
-    return (start_of(received) + 1) << _REFUTATION_BITS
+    return (get_start(received) + 1) << _REFUTATION_BITS
--- a/src/amaranthslip/members/members.py
+++ b/src/amaranthslip/members/members.py
@@ -64,7 +64,7 @@
     """Return this instance as a member, with a new incarnation."""
     return Member(
         name=settings.instance.name,
-        incarnation=incarnations.draw(time.time()),
+        incarnation=incarnations.create(time.time()),
         address=settings.addresses.peers,
         failure_domain=settings.instance.failure_domain,
         region=settings.instance.region,
--- a/src/amaranthslip/members/roster.py
+++ b/src/amaranthslip/members/roster.py
@@ -32,7 +32,7 @@
         """Return a member in any state, or None if it is unknown."""
         return self._members.get(name)
 
-    def live(self) -> tuple[members.Member, ...]:
+    def list_live(self) -> tuple[members.Member, ...]:
         """Return the members in service, sorted by name.
 
         Suspected members are included: a suspicion is often wrong, and moving
@@ -52,16 +52,16 @@
         old = self._members.get(member.name)
         self._members[member.name] = member
         if old is None or _differs(old, member):
-            self.note_change()
+            self.invalidate()
 
     def remove(self, name: str) -> None:
         """Remove a member, if it is known."""
         member = self._members.pop(name, None)
         if member is not None and is_live(member.state):
-            self.note_change()
+            self.invalidate()
 
-    def note_change(self) -> None:
-        """Invalidate the cached result of `live` and raise the generation."""
+    def invalidate(self) -> None:
+        """Invalidate the cached live members and raise the generation."""
         self._live = None
         self.generation += 1
 
--- a/src/amaranthslip/members/seeds.py
+++ b/src/amaranthslip/members/seeds.py
@@ -5,10 +5,10 @@
 import typing
 
 from amaranthslip import errors
-from amaranthslip.members import beliefs as beliefs_module
 from amaranthslip.members import members
 from amaranthslip.members import outbox as outbox_module
 from amaranthslip.members import roster as roster_module
+from amaranthslip.members import states as states_module
 
 _LOG = logging.getLogger(__name__)
 
@@ -31,7 +31,7 @@
     __slots__ = (
         '_list',
         '_roster',
-        '_beliefs',
+        '_states',
         '_outbox',
         '_unknown',
         '_unprobed',
@@ -42,12 +42,12 @@
         self,
         instance_list: InstanceList | None,
         roster: roster_module.Roster,
-        beliefs: beliefs_module.Beliefs,
+        states: states_module.MemberStates,
         outbox: outbox_module.Outbox,
     ) -> None:
         self._list = instance_list
         self._roster = roster
-        self._beliefs = beliefs
+        self._states = states
         self._outbox = outbox
         self._unknown: list[str] = []
         self._unprobed: list[str] = []
@@ -114,9 +114,9 @@
         if known.name in self._announced:
             return
         self._announced[known.name] = known.incarnation
-        news = beliefs_module.describe(known)
+        news = states_module.describe(known)
         news.state = int(members.MemberState.LEAVING)
-        self._beliefs.learn(news)
+        self._states.apply(news)
 
     def _remove_unlisted(self, names: set[str]) -> None:
         for name in set(self._unknown) - names:
--- a/src/amaranthslip/members/beliefs.py
+++ b/src/amaranthslip/members/states.py
@@ -5,12 +5,12 @@
 import typing
 
 from amaranthslip.members import clock as clock_module
+from amaranthslip.members import gossip as gossip_module
 from amaranthslip.members import incarnations
 from amaranthslip.members import members
 from amaranthslip.members import messages
 from amaranthslip.members import outbox as outbox_module
 from amaranthslip.members import roster as roster_module
-from amaranthslip.members import rumours as rumours_module
 from amaranthslip import metrics as metrics_module
 from amaranthslip import settings as settings_module
 
@@ -30,7 +30,7 @@
 _MAX_LOCAL_HEALTH_SCORE = 3
 
 
-class Beliefs:
+class MemberStates:
     """Applies news to the roster and queues new information as gossip.
 
     Parameters
@@ -48,7 +48,7 @@
     """
 
     __slots__ = (
-        'rumours',
+        'gossip',
         'local_health_score',
         'recheck_names',
         '_settings',
@@ -70,7 +70,7 @@
         metrics: metrics_module.Metrics,
         clock: clock_module.Clock,
     ) -> None:
-        self.rumours = rumours_module.Rumours()
+        self.gossip = gossip_module.GossipQueue()
         self.local_health_score = 0
         self.recheck_names: collections.deque[str] = collections.deque(
             maxlen=64
@@ -90,7 +90,7 @@
         """Names of the dead members that are still remembered."""
         return list(self._died_at)
 
-    def learn(self, news: messages.News, *, gossip: bool = True) -> bool:
+    def apply(self, news: messages.News, *, gossip: bool = True) -> bool:
         """Apply one piece of news; return True if it changed a state.
 
         Parameters
@@ -191,17 +191,17 @@
     def leave(self) -> None:
         """Mark this instance as leaving, and gossip the change."""
         self._roster.member.state = _LEAVING
-        self._roster.note_change()
-        self.rumours.put(describe(self._roster.member))
+        self._roster.invalidate()
+        self.gossip.put(describe(self._roster.member))
 
-    def gather(self) -> list[messages.News]:
+    def select_news(self) -> list[messages.News]:
         """Return the news for one message: queued gossip and one live member.
 
         The additional member is chosen in round-robin order and repairs gaps
         that gossip left, at a bounded cost. Dead members are never repeated
         this way: an outdated death would remove a member that came back.
         """
-        news = self.rumours.select(len(self._roster))
+        news = self.gossip.select(len(self._roster))
         own = self._roster.member
         if own.state is _LEAVING:
             news.append(describe(own))
@@ -210,7 +210,7 @@
             news.append(describe(additional))
         return news
 
-    def gather_all(self) -> list[messages.News]:
+    def list_roster_news(self) -> list[messages.News]:
         """Return news of every member that is not dead, for a new instance."""
         return [
             describe(member)
@@ -232,7 +232,7 @@
     def _next_live_member(self) -> members.Member:
         additional = next(self._live_members, None)
         if additional is None:
-            self._live_members = iter(self._roster.live())
+            self._live_members = iter(self._roster.list_live())
             additional = next(self._live_members, self._roster.member)
         return self._roster.get(additional.name) or self._roster.member
 
@@ -259,7 +259,7 @@
             self.raise_local_health_score()
             self._metrics.count('members', 'refuted_own')
             _LOG.info('member_refuted', extra={'incarnation': own.incarnation})
-        self.rumours.put(describe(own))
+        self.gossip.put(describe(own))
         return True
 
     def _add_member(self, news: messages.News, gossip: bool) -> bool:
@@ -279,7 +279,7 @@
     ) -> None:
         # After a partition each half considers the other dead at its current
         # incarnation. News about such a member at the same incarnation, which
-        # `learn` rejects, is a reason to probe the member again soon.
+        # `apply` rejects, is a reason to probe the member again soon.
         if known.state is _DEAD and news.incarnation == known.incarnation:
             if known.name not in self.recheck_names:
                 self.recheck_names.append(known.name)
@@ -307,7 +307,7 @@
         self._roster.put(member)
         self._outbox.set_address(member.name, member.address)
         if gossip:
-            self.rumours.put(describe(member))
+            self.gossip.put(describe(member))
 
     def _compute_deadline(self) -> float:
         timeout = self._settings.members.suspect_seconds
@@ -375,7 +375,7 @@
         return 'leaving'
     if new.state is _DEAD:
         return 'left' if old.state is _LEAVING else 'died'
-    start = incarnations.start_of
+    start = incarnations.get_start
     if start(old.incarnation) != start(new.incarnation):
         return 'restarted'
     return 'returned' if old.state is _DEAD else 'refuted'
--- a/src/amaranthslip/operated.py
+++ b/src/amaranthslip/operated.py
@@ -216,7 +216,9 @@
             self._reader,
             self._keepers,
             demands,
-            budget.FleetBudget(settings, lambda: len(self._roster.live())),
+            budget.FleetBudget(
+                settings, lambda: len(self._roster.list_live())
+            ),
             self._directory,
             self._connections,
             crashes.CrashGuard(
@@ -394,7 +396,7 @@
                     'service': each.server.service,
                     'leaving': each.server.leaving,
                     'running': each.running,
-                    'running_anywhere': each.all_running,
+                    'running_anywhere': each.total_running,
                     'tokens_a_second': round(each.queue.rate),
                 }
                 for each in self._engines.list_all()
--- a/src/amaranthslip/requests/claims.py
+++ b/src/amaranthslip/requests/claims.py
@@ -73,8 +73,8 @@
     key_value : object
         Has the methods `get` and `swap` of `platform.keyvalue.KeyValue`.
     roster : object
-        Has `live()`, which returns the members that can be collectors, and
-        `generation`, which changes whenever these members change.
+        Has `list_live()`, which returns the members that can be collectors,
+        and `generation`, which changes whenever these members change.
     outbox : object
         Has `send(instance_name, message) -> bool`.
     metrics_ : Metrics
@@ -283,7 +283,7 @@
             self._collectors_generation = self._roster.generation
             self._collectors.clear()
         if shard not in self._collectors:
-            names = [member.name for member in self._roster.live()]
+            names = [member.name for member in self._roster.list_live()]
             self._collectors[shard] = max(
                 names or [self._name],
                 key=lambda name: identity.rendezvous_hash(
@@ -308,7 +308,7 @@
     def _is_live(self, owner: int) -> bool:
         return any(
             identity.hash_name(member.name) == owner
-            for member in self._roster.live()
+            for member in self._roster.list_live()
         )
 
     def receive(self, sender: str, message: object) -> None:
--- a/src/amaranthslip/requests/crash_exchange.py
+++ b/src/amaranthslip/requests/crash_exchange.py
@@ -221,7 +221,7 @@
         )
 
     def _broadcast(self, message: object) -> None:
-        for member in self._roster.live():
+        for member in self._roster.list_live():
             if member.name != self._roster.member.name:
                 self._outbox.send(member.name, message)
 
--- a/src/amaranthslip/router.py
+++ b/src/amaranthslip/router.py
@@ -253,8 +253,8 @@
             self._links,
             self.metrics,
             instance_list=self._instances,
-            heard_version=self._record_version,
-            read_version=self._read_version,
+            on_version=self._record_version,
+            get_version=self._read_version,
         )
 
     def _build_console(self) -> None:
@@ -296,7 +296,7 @@
 
     @_route.register
     def _(self, message: member_messages.Hello, sender: str) -> None:
-        start = incarnations.start_of(message.incarnation)
+        start = incarnations.get_start(message.incarnation)
         self._dispatcher.greet(sender, start)
         self._scheduler.greet(sender, start)
         self._detector.receive(sender, message)
--- a/src/amaranthslip/shares/demand_reports.py
+++ b/src/amaranthslip/shares/demand_reports.py
@@ -87,7 +87,7 @@
 
     def _run(self) -> None:
         while True:
-            count = len(self._roster.live())
+            count = len(self._roster.list_live())
             gevent.sleep(
                 max(_MIN_INTERVAL_SECONDS, count / _MAX_REPORTS_PER_SECOND)
             )
@@ -100,7 +100,7 @@
     def find_aggregator(self) -> str:
         """Return the aggregating instance, by rendezvous hashing."""
         own_name = self._roster.member.name
-        names = [each.name for each in self._roster.live()] or [own_name]
+        names = [each.name for each in self._roster.list_live()] or [own_name]
         return max(
             names,
             key=lambda name: identity.rendezvous_hash(_RENDEZVOUS_KEY, name),
--- a/src/amaranthslip/shares/dispatcher.py
+++ b/src/amaranthslip/shares/dispatcher.py
@@ -237,7 +237,7 @@
             'paused', extra={'seconds': round(now - self._last_tick, 1)}
         )
         for server_slots in self._servers.values():
-            server_slots.open_from = (
+            server_slots.grants_from = (
                 now + self._settings.dispatch.rebuild_seconds
             )
         for name in self._ownership.list_alive():
@@ -287,7 +287,7 @@
         server_slots = slots.Slots(
             server.name,
             server.slots,
-            open_from=self._clock() + wait,
+            grants_from=self._clock() + wait,
             fixed=self._ownership.is_local,
             clock=self._clock,
         )
@@ -320,7 +320,7 @@
         """
         server_slots = self._servers.get(name)
         if server_slots is not None:
-            server_slots.open_from = self._clock() + _SUSPEND_SECONDS
+            server_slots.grants_from = self._clock() + _SUSPEND_SECONDS
 
     def _drop_server(self, name: str) -> None:
         server_slots = self._servers.pop(name)
--- a/src/amaranthslip/shares/keepers.py
+++ b/src/amaranthslip/shares/keepers.py
@@ -20,7 +20,7 @@
 
 from amaranthslip.capacity import engines as engines_module
 from amaranthslip.capacity import outliers as outliers_module
-from amaranthslip.capacity import reading
+from amaranthslip.capacity import prefill
 from amaranthslip import identity
 from amaranthslip.members import roster as roster_module
 from amaranthslip.shares import load_messages
@@ -65,7 +65,7 @@
     def __init__(
         self,
         engine: engines_module.Engine,
-        mark: reading.Mark,
+        mark: prefill.Mark,
         held: int,
         received_at: float,
     ) -> None:
@@ -177,7 +177,7 @@
         keeper = self._keeper_by_server.get(server)
         if keeper is None:
             # The list is empty if all instances are leaving, this one too.
-            names = [each.name for each in self._roster.live()] or [
+            names = [each.name for each in self._roster.list_live()] or [
                 self._own_name
             ]
             keeper = max(
@@ -334,11 +334,11 @@
     ) -> None:
         engine.queue.rate = answer.rate
         engine.queue.congestion = answer.congestion
-        engine.others_running = max(0, answer.running - own_running)
-        engine.others_held = max(0, answer.held - own_held)
+        engine.remote_running = max(0, answer.running - own_running)
+        engine.remote_held_tokens = max(0, answer.held - own_held)
         if not answer.admitted:
             server = engine.server
-            self._outliers.hear(server.name, server.service)
+            self._outliers.apply_remote_ejection(server.name, server.service)
 
     def _send_ended(self, place: places.Place) -> None:
         keeper = self.find_keeper(place.server.name)
@@ -388,21 +388,21 @@
                 ahead=engine.queue.read_backlog(now),
                 rate=engine.queue.rate,
                 congestion=engine.queue.congestion,
-                running=engine.all_running,
-                held=engine.all_held,
+                running=engine.total_running,
+                held=engine.total_held_tokens,
                 admitted=self._outliers.admits(name),
             ),
         )
-        self._outliers.begin(name)
-        running = engine.all_running
+        self._outliers.note_request(name)
+        running = engine.total_running
         mark = engine.queue.add(
             message.unread,
             now,
             running=running,
             other=self._engines.read_slot_wait(engine, running),
         )
-        engine.others_running += 1
-        engine.others_held += message.held
+        engine.remote_running += 1
+        engine.remote_held_tokens += message.held
         self._remote_requests[sender, message.number] = _RemoteRequest(
             engine, mark, message.held, now
         )
@@ -439,7 +439,7 @@
     def _(self, message: load_messages.ServerEjected, sender: str) -> None:
         engine = self._find_engine(message.server)
         if engine is not None:
-            self._outliers.hear(
+            self._outliers.apply_remote_ejection(
                 engine.server.name,
                 engine.server.service,
                 seconds=message.seconds,
@@ -457,7 +457,7 @@
         ejection = load_messages.ServerEjected(
             server=identity.hash_name(server), seconds=seconds
         )
-        for member in self._roster.live():
+        for member in self._roster.list_live():
             if member.name != self._own_name:
                 self._outbox.send(member.name, ejection)
 
@@ -478,11 +478,13 @@
             return
         engine = remote.engine
         engine.queue.drop(remote.mark, self._clock())
-        engine.others_running = max(0, engine.others_running - 1)
-        engine.others_held = max(0, engine.others_held - remote.held)
+        engine.remote_running = max(0, engine.remote_running - 1)
+        engine.remote_held_tokens = max(
+            0, engine.remote_held_tokens - remote.held
+        )
 
     def _release_dead_instances(self) -> None:
-        live = {each.name for each in self._roster.live()}
+        live = {each.name for each in self._roster.list_live()}
         for key in [
             each for each in self._remote_requests if each[0] not in live
         ]:
--- a/src/amaranthslip/shares/ownership.py
+++ b/src/amaranthslip/shares/ownership.py
@@ -305,7 +305,7 @@
     def _update_members(self) -> None:
         alive = {
             member.name: member
-            for member in self._roster.live()
+            for member in self._roster.list_live()
             if member.name == self.name
             or member.state == members.MemberState.ALIVE
         }
--- a/src/amaranthslip/shares/placement.py
+++ b/src/amaranthslip/shares/placement.py
@@ -153,7 +153,7 @@
             raise self._build_unavailable_refusal(placement_request)
         best = min(scored, key=lambda each: each.cost)
         self._admit(placement_request, best)
-        self.outliers.begin(best.engine.server.name)
+        self.outliers.note_request(best.engine.server.name)
         return places.Place(self, placement_request, best, self._clock())
 
     def note_end(self, place: places.Place) -> None:
@@ -188,7 +188,9 @@
                 for each in every
                 if self._is_eligible(placement_request, each.engine)
             ]
-        with_room = [each for each in usable if each.engine.full_until <= now]
+        with_room = [
+            each for each in usable if each.engine.paused_until <= now
+        ]
         usable = with_room or usable
         if placement_request.prompt is None:
             return [self._score_plain(each.engine) for each in usable]
@@ -221,7 +223,7 @@
     def _score_plain(
         self, engine: engines_module.Engine
     ) -> places.ScoredCandidate:
-        load = engine.all_running / max(1, engine.server.slots)
+        load = engine.total_running / max(1, engine.server.slots)
         cost = load + self._compute_distance_cost(engine)
         return places.ScoredCandidate(engine, 0.0, 0.0, cost)
 
@@ -257,7 +259,7 @@
     ) -> places.ScoredCandidate:
         cached = self._count_cached(engine, prompt, position, memory)
         unread_tokens = max(1.0, prompt.prompt_tokens - cached)
-        running = engine.all_running
+        running = engine.total_running
         wait = engine.queue.expect(unread_tokens, now, running)
         wait += self.engines.read_slot_wait(engine, running)
         shared = max(0.0, unread_tokens - prompt.unshared_tokens)
@@ -267,7 +269,7 @@
             + self._compute_distance_cost(engine)
         )
         held = (
-            engine.all_held
+            engine.total_held_tokens
             + prompt.prompt_tokens
             + prompt.expected_output_tokens
         )
@@ -284,8 +286,8 @@
         position: int,
         memory: int,
     ) -> float:
-        room = _CACHE_FRACTION * memory - engine.all_held
-        parts = engine.cached.count_parts(
+        room = _CACHE_FRACTION * memory - engine.total_held_tokens
+        parts = engine.prefix_cache.count_parts(
             prompt.prefix_keys, engine.queue.total, max(room, 0.3 * memory)
         )
         known = float(sum(each.tokens for each in prompt.parts[:parts]))
@@ -411,7 +413,7 @@
         # idle, even if it has read all prompts: an account that floods would
         # take every slot as soon as it is free.
         engine = best.engine
-        if engine.all_running >= engine.server.slots:
+        if engine.total_running >= engine.server.slots:
             return False
         return engine.queue.read_backlog(self._clock()) <= 0
 
--- a/src/amaranthslip/shares/places.py
+++ b/src/amaranthslip/shares/places.py
@@ -3,7 +3,7 @@
 import typing
 
 from amaranthslip.capacity import engines as engines_module
-from amaranthslip.capacity import reading
+from amaranthslip.capacity import prefill
 from amaranthslip.configuration import routes
 from amaranthslip.requests import prompts
 from amaranthslip.shares import demand as demand_module
@@ -220,7 +220,7 @@
         self.connected = True
         self._manager = manager
         self._engine = candidate.engine
-        self._queue_mark: reading.Mark | None = None
+        self._queue_mark: prefill.Mark | None = None
         self._ended = False
         self._started = False
         # Monotonic time at which the answer began.
@@ -229,7 +229,7 @@
 
     def _add_load(self, prompt: prompts.Prompt | None, now: float) -> None:
         engine = self._engine
-        running = engine.all_running
+        running = engine.total_running
         engine.running += 1
         if prompt is None:
             return
@@ -241,7 +241,7 @@
             running=running,
             other=self._manager.engines.read_slot_wait(engine, running),
         )
-        engine.cached.note(prompt.prefix_keys, engine.queue.total)
+        engine.prefix_cache.note(prompt.prefix_keys, engine.queue.total)
 
     def start(self) -> None:
         """Record that the answer has begun."""
@@ -259,7 +259,9 @@
         self.succeeded = True
         if self._started_at and not self._ended:
             run_seconds = self._manager.read_clock() - self._started_at
-            self._manager.engines.note_run(self._engine, run_seconds)
+            self._manager.engines.record_stream_seconds(
+                self._engine, run_seconds
+            )
         self._finish()
 
     def cancel(self) -> None:
@@ -276,7 +278,7 @@
     def reject(self) -> None:
         """Release the place: the server had no free capacity."""
         if not self._ended:
-            self._manager.engines.note_full(self._engine)
+            self._manager.engines.record_full(self._engine)
         self._finish()
 
     def withdraw(self) -> None:
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -4,7 +4,7 @@
 
 import behave
 
-from amaranthslip.capacity import reading
+from amaranthslip.capacity import prefill
 from amaranthslip import errors
 from amaranthslip.requests import prompts
 from amaranthslip.shares import demand
@@ -66,9 +66,9 @@
     engines = context.placement.engines
     for engine in engines.list_all():
         engine.server.slots = slots
-        engine.others_running = running
+        engine.remote_running = running
         for _ in range(500):
-            engines.note_run(engine, seconds)
+            engines.record_stream_seconds(engine, seconds)
 
 
 @behave.given('an account that was granted {granted_ratio:g} times its share')
@@ -228,7 +228,9 @@
         queue = engine.queue
         for _ in range(count):
             mark = queue.add(100, environment.now, running=running)
-            took = 100 / queue.rate + reading.OVERHEAD_SECONDS + late
+            took = (
+                100 / queue.rate + prefill.FIRST_EVENT_OVERHEAD_SECONDS + late
+            )
             queue.start(mark, environment.now + took)
             environment.now += 1.0
 
@@ -236,7 +238,7 @@
 @behave.when('{many:d} requests run at one engine and {few:d} at the other')
 def run_unevenly(context, many, few):
     one, other = context.placement.engines.list_all()
-    one.others_running, other.others_running = many, few
+    one.remote_running, other.remote_running = many, few
     context.busier, context.quieter = one, other
 
 
@@ -247,7 +249,7 @@
 def check_expected(context, seconds):
     now = context.environment.now
     expected = [
-        engine.queue.expect(500, now, engine.all_running)
+        engine.queue.expect(500, now, engine.total_running)
         for engine in (context.busier, context.quieter)
     ]
     assert expected[0] - expected[1] >= seconds, expected
--- a/tests/features/steps/candidates.py
+++ b/tests/features/steps/candidates.py
@@ -35,7 +35,7 @@
 def eject(context, count):
     context.ejected = set(context.order[:count])
     for name in context.ejected:
-        context.instance.placement.outliers.hear(
+        context.instance.placement.outliers.apply_remote_ejection(
             name, patterns.SERVICE, seconds=5.0
         )
 
--- a/tests/features/steps/keepers.py
+++ b/tests/features/steps/keepers.py
@@ -175,7 +175,7 @@
 def check_counted(context, count):
     fleet = context.fleet
     counted = [
-        each.placement.engines.get(server.name).all_running
+        each.placement.engines.get(server.name).total_running
         for each in fleet.instances.values()
         for server in fleet.servers
         if each.keepers.find_keeper(server.name) == each.name
@@ -224,8 +224,8 @@
 @behave.then('the keeper counts no load at that engine')
 def check_no_load(context):
     engine = _find_engine(context, context.keeper, context.place.server.name)
-    assert engine.all_running == 0, engine.all_running
-    assert engine.all_held == 0, engine.all_held
+    assert engine.total_running == 0, engine.total_running
+    assert engine.total_held_tokens == 0, engine.total_held_tokens
     assert engine.queue.read_backlog(context.fleet.now) == 0
 
 
@@ -318,5 +318,5 @@
     known = {context.sender, context.keeper}
     (third,) = [name for name in context.fleet.names if name not in known]
     engine = _find_engine(context, third, context.place.server.name)
-    assert engine.others_running == 1, engine.others_running
+    assert engine.remote_running == 1, engine.remote_running
     assert engine.queue.read_backlog(context.fleet.now) > 20000
--- a/tests/support/claim_fleet.py
+++ b/tests/support/claim_fleet.py
@@ -69,7 +69,7 @@
         self.names = ()
         self.generation = 0
 
-    def live(self):
+    def list_live(self):
         """Return the live members in the form of `members.roster.Roster`."""
         return tuple(
             members.Member(
--- a/tests/support/dispatching.py
+++ b/tests/support/dispatching.py
@@ -41,7 +41,7 @@
     def get(self, name: str) -> members.Member | None:
         return self._members.get(name)
 
-    def live(self) -> tuple[members.Member, ...]:
+    def list_live(self) -> tuple[members.Member, ...]:
         known = sorted(self._members.values(), key=lambda each: each.name)
         limit = members.MemberState.SUSPECT
         return tuple(each for each in known if each.state <= limit)
--- a/tests/support/live_fleet.py
+++ b/tests/support/live_fleet.py
@@ -55,7 +55,7 @@
         wall = time.time() if wall_seconds is None else wall_seconds
         self.member = members.Member(
             name=name,
-            incarnation=incarnations.draw(wall),
+            incarnation=incarnations.create(wall),
             address='',
             failure_domain='poa-a',
             region='rs-sul',
@@ -70,8 +70,8 @@
             self.links,
             self.metrics,
             instance_list=instance_list,
-            heard_version=self.versions.__setitem__,
-            read_version=lambda: 7,
+            on_version=self.versions.__setitem__,
+            get_version=lambda: 7,
         )
         self.links.start()
 
@@ -83,7 +83,7 @@
         self.links.close()
 
     def read_live(self) -> set[str]:
-        return {member.name for member in self.roster.live()}
+        return {member.name for member in self.roster.list_live()}
 
     def count(self, event: str) -> float:
         return self.metrics.read('members', event)
--- a/tests/support/virtual_fleet.py
+++ b/tests/support/virtual_fleet.py
@@ -150,7 +150,7 @@
         self.clock = MemberClock(network)
         self.member = members.Member(
             name=name,
-            incarnation=incarnations.draw(
+            incarnation=incarnations.create(
                 _WALL_START + network.now - clock_back_seconds
             ),
             address=f'127.0.0.1:{7000 + int(name[1:])}',
@@ -220,7 +220,7 @@
         self.detector.close()
 
     def read_live(self) -> list[str]:
-        return [member.name for member in self.roster.live()]
+        return [member.name for member in self.roster.list_live()]
 
     def read_states(self) -> dict[str, members.MemberState]:
         return {member.name: member.state for member in self.roster}
