--- a/bench/link_slopes.py
+++ b/bench/link_slopes.py
@@ -42,7 +42,7 @@
     """
     registry.register_all()
     figures = []
-    for kind in codec._BY_CLASS:
+    for kind in codec._MAPPINGS_BY_CLASS:
         figures += _measure_kind(kind)
     return figures
 
@@ -66,7 +66,7 @@
 
 def _build_sample(kind: type, generator: random.Random) -> object:
     """Return a message whose fields hold random values of their types."""
-    lists = codec._BY_CLASS[kind].lists
+    lists = codec._MAPPINGS_BY_CLASS[kind].list_fields
     values: dict[str, typing.Any] = {}
     for name, parameter in inspect.signature(kind).parameters.items():
         if name in lists:
@@ -213,7 +213,7 @@
 def _start_links(
     stack: contextlib.ExitStack,
     *,
-    receive: links.Receive = lambda name, message: None,
+    receive: links.MessageHandler = lambda name, message: None,
 ) -> links.Links:
     section = {'idle_seconds': _LINK_IDLE_SECONDS}
     endpoint = links.Links(
--- a/bench/member_slopes.py
+++ b/bench/member_slopes.py
@@ -225,7 +225,7 @@
     def set_address(self, name: str, address: str) -> None:
         pass
 
-    def forget(self, name: str) -> None:
+    def remove_peer(self, name: str) -> None:
         pass
 
 
--- a/src/amaranthslip/backends/connections.py
+++ b/src/amaranthslip/backends/connections.py
@@ -12,9 +12,9 @@
 
 from gevent import socket
 
-from amaranthslip.backends import answers
 from amaranthslip.backends import outgoing
 from amaranthslip.backends import pools
+from amaranthslip.backends import responses
 from amaranthslip.configuration import document
 from amaranthslip import errors
 from amaranthslip.links import sockets
@@ -50,10 +50,10 @@
     def send(
         self,
         server: document.BackendServer,
-        request: outgoing.Outgoing,
+        request: outgoing.BackendRequest,
         *,
         first_byte_seconds: float | None = None,
-    ) -> answers.Answer:
+    ) -> responses.Response:
         """Send a request and wait for the headers of the response.
 
         Parameters
@@ -76,7 +76,9 @@
             seconds = self._settings.backends.first_byte_seconds
         sock = None
         if request.reuse is not outgoing.Reuse.NEVER:
-            sock = pool.take(recent_only=request.reuse is outgoing.Reuse.SURE)
+            sock = pool.take(
+                recent_only=request.reuse is outgoing.Reuse.RECENT
+            )
         if sock is None:
             return self._send_on_new(pool, data, request, seconds)
         return self._send_on_pooled(pool, sock, data, request, seconds)
@@ -100,14 +102,14 @@
             return True
         return True
 
-    def keep_only(self, addresses: typing.Collection[str]) -> None:
+    def close_others(self, addresses: typing.Collection[str]) -> None:
         """Close the idle connections to all other addresses."""
         for address in self._pools.keys() - set(addresses):
             self._pools.pop(address).close()
 
     def close(self) -> None:
         """Close the idle connections; responses in progress keep theirs."""
-        self.keep_only(())
+        self.close_others(())
 
     def _get_pool(self, address: str) -> pools.ServerPool:
         pool = self._pools.get(address)
@@ -121,11 +123,11 @@
         pool: pools.ServerPool,
         sock: socket.socket,
         data: bytes,
-        request: outgoing.Outgoing,
+        request: outgoing.BackendRequest,
         seconds: float,
-    ) -> answers.Answer:
+    ) -> responses.Response:
         sockets.set_keepalive(sock, True)
-        answer = answers.Answer(sock, pool, request)
+        answer = responses.Response(sock, pool, request)
         try:
             return self._exchange(pool, answer, request, data, seconds)
         except errors.BackendFailed as failure:
@@ -146,20 +148,20 @@
         self,
         pool: pools.ServerPool,
         data: bytes,
-        request: outgoing.Outgoing,
+        request: outgoing.BackendRequest,
         seconds: float,
-    ) -> answers.Answer:
-        answer = answers.Answer(self._connect(pool), pool, request)
+    ) -> responses.Response:
+        answer = responses.Response(self._connect(pool), pool, request)
         return self._exchange(pool, answer, request, data, seconds)
 
     def _exchange(
         self,
         pool: pools.ServerPool,
-        answer: answers.Answer,
-        request: outgoing.Outgoing,
+        answer: responses.Response,
+        request: outgoing.BackendRequest,
         data: bytes,
         seconds: float,
-    ) -> answers.Answer:
+    ) -> responses.Response:
         try:
             request.check_server()
             answer.set_timeout(seconds)
@@ -168,7 +170,7 @@
             idle_seconds = answer.idle_seconds
             if idle_seconds is not None:
                 pool.set_idle_seconds(idle_seconds)
-            answer.watch_idle(self._settings.backends.idle_seconds)
+            answer.set_idle_timeout(self._settings.backends.idle_seconds)
         except BaseException:
             # This includes a caller that disconnects and a deadline that
             # expires: closing the connection cancels the work at the engine.
--- a/src/amaranthslip/backends/loads.py
+++ b/src/amaranthslip/backends/loads.py
@@ -136,7 +136,7 @@
                 self._pollers.pop(key).kill(block=False)
             for key in owned.keys() - self._pollers.keys():
                 self._pollers[key] = gevent.spawn(self._poll, owned[key])
-            self._connections.keep_only([address for _, address in owned])
+            self._connections.close_others([address for _, address in owned])
             gevent.sleep(_SERVER_CHECK_SECONDS)
 
     def _poll(self, server: document.BackendServer) -> None:
@@ -163,7 +163,7 @@
     def _fetch_report(
         self, server: document.BackendServer
     ) -> loads.LoadReport | None:
-        request = outgoing.Outgoing(
+        request = outgoing.BackendRequest(
             method='GET',
             target='/metrics',
             headers=(('Accept', 'text/plain'),),
@@ -172,7 +172,7 @@
             request_id=uuid.uuid4().hex,
         )
         with self._connections.send(server, request) as answer:
-            body = answer.read_whole(_MAX_REPORT_BYTES)
+            body = answer.read_body(_MAX_REPORT_BYTES)
         if answer.status != 200:
             return None
         return read_report(
--- a/src/amaranthslip/backends/outgoing.py
+++ b/src/amaranthslip/backends/outgoing.py
@@ -24,13 +24,13 @@
     NEVER = 'never'
     # A pooled connection that was used very recently, or a new one. The
     # request is not resent if the connection breaks.
-    SURE = 'sure'
+    RECENT = 'sure'
     # Any pooled connection, or a new one. If a pooled connection breaks, the
     # request may be resent on a new one.
     ANY = 'any'
 
 
-class Outgoing:
+class BackendRequest:
     """One request in the form in which a backend server receives it.
 
     Parameters
@@ -50,7 +50,7 @@
         Name of the header that carries the request id.
     host : str
         Value of the `Host` header; the server's address by default.
-    unframed_ends : bool
+    accept_unframed : bool
         Whether a response without a length is complete when the server closes
         the connection without a reset.
     may_resend : callable, optional
@@ -70,7 +70,7 @@
         'request_id',
         'id_header',
         'host',
-        'unframed_ends',
+        'accept_unframed',
         'may_resend',
         'check_server',
     )
@@ -86,7 +86,7 @@
         request_id: str,
         id_header: str = 'X-Request-Id',
         host: str = '',
-        unframed_ends: bool = False,
+        accept_unframed: bool = False,
         may_resend: typing.Callable[[], bool] = lambda: True,
         check_server: typing.Callable[[], None] = lambda: None,
     ) -> None:
@@ -98,7 +98,7 @@
         self.request_id = request_id
         self.id_header = id_header
         self.host = host
-        self.unframed_ends = unframed_ends
+        self.accept_unframed = accept_unframed
         self.may_resend = may_resend
         self.check_server = check_server
 
--- a/src/amaranthslip/backends/responses.py
+++ b/src/amaranthslip/backends/responses.py
@@ -20,7 +20,7 @@
 class _Parser(response.HTTPResponse):
     """The library's parser, extended to collect body chunks on arrival."""
 
-    def __init__(self, request: outgoing.Outgoing) -> None:
+    def __init__(self, request: outgoing.BackendRequest) -> None:
         super().__init__(method=request.method)
         self.body_chunks: list[bytes] = []
         # Whether the message being parsed is a response to an earlier request.
@@ -70,7 +70,7 @@
         self.stale = False
 
 
-class Answer:
+class Response:
     """The response of one backend server to one request.
 
     The object owns the connection. After the last byte of the body the
@@ -87,7 +87,7 @@
         '_socket',
         '_pool',
         '_reusable',
-        '_unframed_ends',
+        '_accept_unframed',
         '_connection_ended',
         '_idle_watch',
     )
@@ -96,7 +96,7 @@
         self,
         sock: socket.socket,
         pool: connectionpool.ConnectionPool,
-        request: outgoing.Outgoing,
+        request: outgoing.BackendRequest,
     ) -> None:
         self.status = 0
         self.headers: list[tuple[str, str]] = []
@@ -106,7 +106,7 @@
         self._pool = pool
         # Cleared when bytes that belong to no response follow the response.
         self._reusable = True
-        self._unframed_ends = request.unframed_ends
+        self._accept_unframed = request.accept_unframed
         self._connection_ended = False
         self._idle_watch: idling.IdleWatch | None = None
 
@@ -163,7 +163,7 @@
         if self._socket is not None:
             self._socket.settimeout(seconds)
 
-    def watch_idle(self, seconds: float) -> None:
+    def set_idle_timeout(self, seconds: float) -> None:
         """Limit each subsequent wait for bytes, in seconds, with one timer."""
         self._stop_idle_watch()
         if self._socket is not None:
@@ -184,7 +184,7 @@
             The connection ended or timed out before the last byte. A response
             without a length or a last chunk, which ends when the connection
             is closed, counts as cut, because it can't be distinguished from
-            a truncated one, except for a request with `unframed_ends`.
+            a truncated one, except for a request with `accept_unframed`.
         """
         parser = self._parser
         while not parser.body_chunks:
@@ -202,7 +202,7 @@
         body_chunks.clear()
         return data
 
-    def read_whole(self, max_bytes: int) -> bytes:
+    def read_body(self, max_bytes: int) -> bytes:
         """Read and return the whole body.
 
         Raises
@@ -222,7 +222,7 @@
                 )
         return b''.join(body_chunks)
 
-    def finish(self, seconds: float) -> None:
+    def drain(self, seconds: float) -> None:
         """Read the rest of a response whose content is known to be complete.
 
         Closes the connection if the end has not arrived after `seconds`.
@@ -273,7 +273,7 @@
         if not data:
             self._connection_ended = True
             if (
-                self._unframed_ends
+                self._accept_unframed
                 and self.status
                 and not self._parser.is_delimited
             ):
--- a/src/amaranthslip/entry/entry.py
+++ b/src/amaranthslip/entry/entry.py
@@ -167,4 +167,4 @@
         while True:
             gevent.sleep(_CLEANUP_INTERVAL_SECONDS)
             servers = self._holder.document.backend_servers.values()
-            self._connections.keep_only([each.address for each in servers])
+            self._connections.close_others([each.address for each in servers])
--- a/src/amaranthslip/entry/events.py
+++ b/src/amaranthslip/entry/events.py
@@ -5,7 +5,7 @@
 
 import gevent
 
-from amaranthslip.backends import answers
+from amaranthslip.backends import responses
 from amaranthslip.entry import callers
 from amaranthslip.entry import replies
 from amaranthslip import errors
@@ -62,7 +62,7 @@
 
     def relay(
         self,
-        answer: answers.Answer,
+        answer: responses.Response,
         headers: typing.Sequence[tuple[str, str]],
         on_first_bytes: typing.Callable[[], None],
     ) -> None:
@@ -70,7 +70,7 @@
 
         Parameters
         ----------
-        answer : Answer
+        answer : Response
             The engine's answer.
         headers : sequence of (str, str)
             Headers for the caller, used if none were sent yet.
--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -7,9 +7,9 @@
 
 import gevent
 
-from amaranthslip.backends import answers
 from amaranthslip.backends import connections as connections_
 from amaranthslip.backends import outgoing
+from amaranthslip.backends import responses
 from amaranthslip.capacity import directory as directory_
 from amaranthslip.configuration import document
 from amaranthslip.entry import attempts
@@ -362,14 +362,14 @@
 
     def _compose(
         self, call: routed.RoutedCall, place: places.Place
-    ) -> outgoing.Outgoing:
+    ) -> outgoing.BackendRequest:
         pairs = call.headers + wire.describe_try(
             server_name=place.server.name,
             client_account=call.placement_request.client_account,
             seconds_left=call.seconds_left,
             resume_after=call.resumed_after,
         )
-        return outgoing.Outgoing(
+        return outgoing.BackendRequest(
             method=call.method,
             target=call.target,
             headers=pairs,
@@ -378,7 +378,7 @@
             request_id=call.facts.attempt_id,
             id_header=wire.ATTEMPT_ID,
             host=call.host,
-            unframed_ends=True,
+            accept_unframed=True,
             may_resend=functools.partial(self._charge_resend, call),
             check_server=functools.partial(self._check_server, place.server),
         )
@@ -432,14 +432,14 @@
         self,
         call: routed.RoutedCall,
         relay: events.EventRelay,
-        answer: answers.Answer,
+        answer: responses.Response,
         place: places.Place,
         sent_at: float,
     ) -> None:
         if call.route.resumable and call.runs < call.route.most_runs:
-            answer.watch_idle(_STREAM_IDLE_SECONDS)
+            answer.set_idle_timeout(_STREAM_IDLE_SECONDS)
         else:
-            answer.watch_idle(max(call.seconds_left, 0.001))
+            answer.set_idle_timeout(max(call.seconds_left, 0.001))
 
         def note_start() -> None:
             place.start()
@@ -479,10 +479,10 @@
     def _read_reply(
         self,
         call: routed.RoutedCall,
-        answer: answers.Answer,
+        answer: responses.Response,
         place: places.Place,
     ) -> replies.Reply:
-        body = answer.read_whole(self._settings.limits.answer_bytes)
+        body = answer.read_body(self._settings.limits.answer_bytes)
         self._crash_guard.note_completion(call)
         call.summary.note_answer_start(time.monotonic())
         place.start()
@@ -501,7 +501,7 @@
         return replies.Reply(status, pairs, body)
 
     def _retry_server_error(
-        self, call: routed.RoutedCall, answer: answers.Answer
+        self, call: routed.RoutedCall, answer: responses.Response
     ) -> None:
         """Raise BackendFailed if a 5xx answer should be retried."""
         if not call.route.repeatable:
@@ -543,5 +543,5 @@
         # allows no further run. Whether a failed request ran need not be known
         # for sure here, because running an idempotent or streaming request
         # has no effect that matters to the caller.
-        return outgoing.Reuse.SURE
+        return outgoing.Reuse.RECENT
     return outgoing.Reuse.NEVER
--- a/src/amaranthslip/entry/headers.py
+++ b/src/amaranthslip/entry/headers.py
@@ -35,7 +35,7 @@
 _NOT_FORWARDED_TO_PLAIN = _HOP_BY_HOP | _REPLACED_FOR_BACKEND
 # On an operator's routes, the backend server gets the client account in a
 # header that the platform defines. The caller's `Host` is forwarded, but
-# through `Outgoing.host` instead of the header list.
+# through `BackendRequest.host` instead of the header list.
 NOT_FORWARDED_ON_ROUTES = (
     _HOP_BY_HOP
     | frozenset(('authorization', 'content-length', 'expect', 'host'))
--- a/src/amaranthslip/entry/outcomes.py
+++ b/src/amaranthslip/entry/outcomes.py
@@ -1,6 +1,6 @@
 """Interpretation of backend answers and failures for the caller."""
 
-from amaranthslip.backends import answers
+from amaranthslip.backends import responses
 from amaranthslip.entry import headers
 from amaranthslip.entry import routed
 from amaranthslip import errors
@@ -13,7 +13,7 @@
 REJECTIONS = frozenset(('rejected', 'misdirected')) | EXCLUSIONS
 
 
-def check_run(answer: answers.Answer, facts: wire.AnswerFacts) -> None:
+def check_run(answer: responses.Response, facts: wire.AnswerFacts) -> None:
     """Raise if a request was not run or its answer is not authentic.
 
     Raises
@@ -38,14 +38,14 @@
         )
 
 
-def is_stream(answer: answers.Answer) -> bool:
+def is_stream(answer: responses.Response) -> bool:
     """Return whether an answer is a stream of server-sent events."""
     return answer.status == 200 and answer.content_type.startswith(
         'text/event-stream'
     )
 
 
-def list_caller_headers(answer: answers.Answer) -> wire.Pairs:
+def list_caller_headers(answer: responses.Response) -> wire.Pairs:
     """Return the headers of an answer that are passed on to the caller."""
     return wire.strip_internal(headers.strip_answer_headers(answer.headers))
 
--- a/src/amaranthslip/entry/streams.py
+++ b/src/amaranthslip/entry/streams.py
@@ -4,7 +4,7 @@
 import time
 import typing
 
-from amaranthslip.backends import answers
+from amaranthslip.backends import responses
 from amaranthslip.entry import callers
 from amaranthslip.entry import calls
 from amaranthslip.entry import replies
@@ -135,7 +135,7 @@
         )
         return True
 
-    def relay(self, answer: answers.Answer, charge: Charge) -> None:
+    def relay(self, answer: responses.Response, charge: Charge) -> None:
         """Forward events up to and including `[DONE]`.
 
         Raises
--- a/src/amaranthslip/entry/tries.py
+++ b/src/amaranthslip/entry/tries.py
@@ -3,9 +3,9 @@
 import functools
 import typing
 
-from amaranthslip.backends import answers
 from amaranthslip.backends import connections as connections_
 from amaranthslip.backends import outgoing
+from amaranthslip.backends import responses
 from amaranthslip.entry import callers
 from amaranthslip.entry import calls
 from amaranthslip.entry import claiming
@@ -144,9 +144,9 @@
 
     def _send(
         self, call: calls.Call, body: bytes, grant_use: _GrantUse
-    ) -> answers.Answer:
+    ) -> responses.Response:
         server = grant_use.grant.backend_server
-        request = outgoing.Outgoing(
+        request = outgoing.BackendRequest(
             method=call.method,
             target=call.target,
             headers=call.headers,
@@ -182,7 +182,7 @@
         self,
         call: calls.Call,
         stream: streams.Stream | None,
-        answer: answers.Answer,
+        answer: responses.Response,
         grant_use: _GrantUse,
     ) -> replies.Reply | None:
         grant_use.outcome = outcomes.Outcome.CANCELLED
@@ -196,7 +196,7 @@
                 # engine has generated its last token, and the slot must not
                 # stay unused meanwhile.
                 grant_use.grant.finish(grant_use.outcome)
-                answer.finish(_LAST_CHUNK_SECONDS)
+                answer.drain(_LAST_CHUNK_SECONDS)
                 return None
             if stream and stream.started:
                 raise errors.BackendFailed(
@@ -223,9 +223,12 @@
             )
 
     def _read_reply(
-        self, call: calls.Call, answer: answers.Answer, grant_use: _GrantUse
+        self,
+        call: calls.Call,
+        answer: responses.Response,
+        grant_use: _GrantUse,
     ) -> replies.Reply:
-        body = answer.read_whole(self._settings.limits.answer_bytes)
+        body = answer.read_body(self._settings.limits.answer_bytes)
         self._crash_guard.note_completion(call)
         if answer.status >= 500:
             grant_use.outcome = outcomes.Outcome.FAILED
@@ -261,7 +264,7 @@
     return True
 
 
-def _is_stream(answer: answers.Answer) -> bool:
+def _is_stream(answer: responses.Response) -> bool:
     return answer.status == 200 and answer.content_type.startswith(
         'text/event-stream'
     )
--- a/src/amaranthslip/links/codec.py
+++ b/src/amaranthslip/links/codec.py
@@ -41,17 +41,17 @@
 class _StructMapping:
     """Mapping of one message class to its struct in the schema."""
 
-    __slots__ = ('message_class', 'union_field', 'fields', 'lists')
+    __slots__ = ('message_class', 'union_field', 'fields', 'list_fields')
 
     def __init__(
         self,
         message_class: type,
         union_field: str,
-        lists: dict[str, '_StructMapping'],
+        list_fields: dict[str, '_StructMapping'],
     ) -> None:
         self.message_class = message_class
         self.union_field = union_field
-        self.lists = lists
+        self.list_fields = list_fields
         struct = getattr(_SCHEMA, message_class.__name__).schema
         self.fields = [
             fields.Field(
@@ -60,14 +60,14 @@
                 struct.fields[_convert_to_camel_case(slot)].proto.slot.type,
             )
             for slot in message_class.__slots__
-            if slot not in lists
+            if slot not in list_fields
         ]
 
     def write(self, message: object, builder: typing.Any) -> None:
         for field in self.fields:
             value = field.convert(getattr(message, field.slot))
             setattr(builder, field.name, value)
-        for slot, mapping in self.lists.items():
+        for slot, mapping in self.list_fields.items():
             items = getattr(message, slot)
             target = builder.init(_convert_to_camel_case(slot), len(items))
             for index, item in enumerate(items):
@@ -77,13 +77,13 @@
         values = {
             field.slot: getattr(reader, field.name) for field in self.fields
         }
-        for slot, mapping in self.lists.items():
+        for slot, mapping in self.list_fields.items():
             items = getattr(reader, _convert_to_camel_case(slot))
             values[slot] = [mapping.read(item) for item in items]
         return self.message_class(**values)
 
 
-_BY_CLASS: dict[type, _StructMapping] = {}
+_MAPPINGS_BY_CLASS: dict[type, _StructMapping] = {}
 _MAPPINGS_BY_TAG: dict[int, _StructMapping] = {}
 
 
@@ -103,7 +103,7 @@
         slot: _StructMapping(item, '', {}) for slot, item in lists.items()
     }
     mapping = _StructMapping(message_class, union_field, item_mappings)
-    _BY_CLASS[message_class] = mapping
+    _MAPPINGS_BY_CLASS[message_class] = mapping
     union = _SCHEMA.Message.schema.fields[union_field]
     _MAPPINGS_BY_TAG[union.proto.discriminantValue] = mapping
 
@@ -144,7 +144,7 @@
     target = batch.init('messages', len(messages))
     sizes = []
     for index, message in enumerate(messages):
-        mapping = _BY_CLASS.get(type(message))
+        mapping = _MAPPINGS_BY_CLASS.get(type(message))
         if mapping is None:
             raise TypeError(f'{type(message).__name__} is not registered')
         builder = target[index].init(mapping.union_field)
--- a/src/amaranthslip/links/links.py
+++ b/src/amaranthslip/links/links.py
@@ -28,7 +28,7 @@
 _FLUSH_SECONDS = 1.0
 _FLUSH_POLL_SECONDS = 0.01
 
-Receive = typing.Callable[[str, object], None]
+MessageHandler = typing.Callable[[str, object], None]
 
 
 class Links:
@@ -77,7 +77,7 @@
         settings: settings_module.Settings,
         metrics: metrics_module.Metrics,
         member: members.Member,
-        receive: Receive,
+        receive: MessageHandler,
         *,
         on_connect: peer_module.BuildInitialMessages | None = None,
     ) -> None:
@@ -119,7 +119,7 @@
             while any(peer.queued for peer in self._peers.values()):
                 gevent.sleep(_FLUSH_POLL_SECONDS)
         for name in list(self._peers):
-            self.forget(name)
+            self.remove_peer(name)
         self._cleanup.close()
 
     def set_address(self, name: str, address: str) -> None:
@@ -134,7 +134,7 @@
         if peer is not None and peer.address == address:
             return
         if peer is not None:
-            self.forget(name)
+            self.remove_peer(name)
         self._peers[name] = peer_module.Peer(
             name,
             address,
@@ -143,7 +143,7 @@
             self._build_initial_messages,
         )
 
-    def forget(self, name: str) -> None:
+    def remove_peer(self, name: str) -> None:
         """Close the connection to a peer and drop its queued messages."""
         peer = self._peers.pop(name, None)
         if peer is not None:
--- a/src/amaranthslip/members/outbox.py
+++ b/src/amaranthslip/members/outbox.py
@@ -12,5 +12,5 @@
     def set_address(self, name: str, address: str) -> None:
         """Set the address of a new member, or a new address of a known one."""
 
-    def forget(self, name: str) -> None:
+    def remove_peer(self, name: str) -> None:
         """Close the connection to a member and drop its queued messages."""
--- a/src/amaranthslip/members/seeds.py
+++ b/src/amaranthslip/members/seeds.py
@@ -122,6 +122,6 @@
         for name in set(self._unknown) - names:
             self._unknown.remove(name)
             if self._roster.get(name) is None:
-                self._outbox.forget(name)
+                self._outbox.remove_peer(name)
         for name in set(self._announced) - names:
             del self._announced[name]
--- a/src/amaranthslip/members/states.py
+++ b/src/amaranthslip/members/states.py
@@ -158,7 +158,7 @@
         for name in old:
             del self._died_at[name]
             self._roster.remove(name)
-            self._outbox.forget(name)
+            self._outbox.remove_peer(name)
 
     def extend_suspicions(self, seconds: float) -> None:
         """Extend all suspicion deadlines by a pause of this process.
--- a/src/amaranthslip/operated.py
+++ b/src/amaranthslip/operated.py
@@ -365,7 +365,7 @@
             self._apply_caller_limits()
             self._keepers.drop_expired()
             servers = self._directory.list_all()
-            self._connections.keep_only([each.address for each in servers])
+            self._connections.close_others([each.address for each in servers])
 
     def _apply_caller_limits(self) -> None:
         limits = self._holder.document.caller_limits
--- a/tests/features/steps/connections.py
+++ b/tests/features/steps/connections.py
@@ -10,7 +10,7 @@
 from tests.support import callers
 from tests.support import exchanges
 
-_REUSE = {'once': outgoing.Reuse.SURE, 'again': outgoing.Reuse.ANY}
+_REUSE = {'once': outgoing.Reuse.RECENT, 'again': outgoing.Reuse.ANY}
 
 
 def _start_server(context, handle_connection):
@@ -30,7 +30,7 @@
 
 
 def _send(context, reuse, **options):
-    request = outgoing.Outgoing(
+    request = outgoing.BackendRequest(
         method='GET',
         target='/x',
         headers=[],
@@ -40,7 +40,7 @@
         **options,
     )
     with context.connections.send(context.backend, request) as answer:
-        return answer.read_whole(1000)
+        return answer.read_body(1000)
 
 
 @behave.given('a server that announces an idle timeout of {seconds:d} seconds')
@@ -83,7 +83,7 @@
 )
 def send_sequentially(context, count):
     for _ in range(count):
-        assert _send(context, outgoing.Reuse.SURE) == b'ok'
+        assert _send(context, outgoing.Reuse.RECENT) == b'ok'
 
 
 @behave.when(
@@ -107,7 +107,8 @@
 @behave.when('{count:d} requests at once leave {idle:d} idle connections')
 def send_at_once(context, count, idle):
     greenlets = [
-        gevent.spawn(_send, context, outgoing.Reuse.SURE) for _ in range(count)
+        gevent.spawn(_send, context, outgoing.Reuse.RECENT)
+        for _ in range(count)
     ]
     gevent.joinall(greenlets, raise_error=True)
     assert context.server.connections == idle, context.server.connections
@@ -116,17 +117,17 @@
 @behave.when('a request that may be sent once is sent as the server closes')
 def send_during_close(context):
     if not context.server.connections:
-        _send(context, outgoing.Reuse.SURE)
+        _send(context, outgoing.Reuse.RECENT)
     context.failure = None
     try:
-        _send(context, outgoing.Reuse.SURE)
+        _send(context, outgoing.Reuse.RECENT)
     except errors.BackendFailed as failure:
         context.failure = failure
 
 
 @behave.when('another request that may be sent once is sent')
 def send_another(context):
-    assert _send(context, outgoing.Reuse.SURE) == b'ok'
+    assert _send(context, outgoing.Reuse.RECENT) == b'ok'
 
 
 def _raise_leaving():
--- a/tests/support/virtual_fleet.py
+++ b/tests/support/virtual_fleet.py
@@ -182,7 +182,7 @@
     def set_address(self, name: str, address: str) -> None:
         self._known.add(name)
 
-    def forget(self, name: str) -> None:
+    def remove_peer(self, name: str) -> None:
         self._known.discard(name)
 
     def build_hello(self) -> messages.Hello:
