--- a/examples/configuration.py
+++ b/examples/configuration.py
@@ -91,7 +91,7 @@
         accepted = submission.submit(document, base=1, author=author)
     except errors.ConfigurationConflict as conflict:
         print(f'{author}: conflict, {conflict.current} is accepted already')
-        print(f'  it changed: {conflict.theirs}')
+        print(f'  it changed: {conflict.changes_since_base}')
     else:
         print(f'{author}: accepted as version {accepted.version}')
 
--- a/src/amaranthslip/commands/operators.py
+++ b/src/amaranthslip/commands/operators.py
@@ -120,7 +120,7 @@
         ------
         SettingsInvalid, ConfigurationConflict, ConfigurationRefused
             Nothing was applied.
-        ConfigurationUnknown
+        ConfigurationOutcomeUnknown
             The response was lost after the document was sent.
         RouterUnreachable, OperatorRefused
             The document was not sent, or it was rejected.
@@ -136,7 +136,7 @@
             raise self._make_unreachable_error(error) from None
         except (OSError, client_response.HTTPParseError) as error:
             # The router may have accepted the document by then.
-            raise errors.ConfigurationUnknown(
+            raise errors.ConfigurationOutcomeUnknown(
                 f'{self._url} sent no response ({error}): check the author of '
                 f'version {base + 1} with `GET /api/history`, or submit '
                 'again, which fails with a conflict if it was accepted',
@@ -184,7 +184,7 @@
                 base=content['base'],
                 current=content['current'],
                 difference=_format_changes(content['difference']),
-                theirs=_format_changes(content['theirs']),
+                changes_since_base=_format_changes(content['theirs']),
             )
         case 422:
             return errors.SettingsInvalid(
@@ -197,7 +197,7 @@
                 ],
             )
         case 504:
-            return errors.ConfigurationUnknown(
+            return errors.ConfigurationOutcomeUnknown(
                 message,
                 submission=content['submission'],
                 version=content['version'],
--- a/src/amaranthslip/commands/output.py
+++ b/src/amaranthslip/commands/output.py
@@ -30,9 +30,9 @@
 @print_error.register
 def _(error: errors.ConfigurationConflict) -> None:
     print(f'conflict: {error}', file=sys.stderr)
-    if error.theirs:
+    if error.changes_since_base:
         print(f'changes accepted since version {error.base}:', file=sys.stderr)
-        print(error.theirs, file=sys.stderr)
+        print(error.changes_since_base, file=sys.stderr)
     if error.difference:
         print(
             f'changes of this document to version {error.current}:',
@@ -42,7 +42,7 @@
 
 
 @print_error.register
-def _(error: errors.ConfigurationUnknown) -> None:
+def _(error: errors.ConfigurationOutcomeUnknown) -> None:
     print(
         f'unknown: {error} (submission {error.submission}, version '
         f'{error.version})',
@@ -67,7 +67,7 @@
 
 
 @find_exit_code.register
-def _(error: errors.ConfigurationUnknown) -> exits.ExitCode:
+def _(error: errors.ConfigurationOutcomeUnknown) -> exits.ExitCode:
     return exits.ExitCode.UNKNOWN
 
 
--- a/src/amaranthslip/configuration/__init__.py
+++ b/src/amaranthslip/configuration/__init__.py
@@ -11,12 +11,12 @@
 _MODULES = {
     'Document': 'document',
     'Holder': 'holder',
-    'Spread': 'spread',
+    'VersionPropagator': 'spread',
     'Store': 'store',
     'Submission': 'submission',
 }
 
-__all__ = ['Document', 'Holder', 'Spread', 'Store', 'Submission']
+__all__ = ['Document', 'Holder', 'VersionPropagator', 'Store', 'Submission']
 
 
 def __getattr__(name: str) -> typing.Any:
--- a/src/amaranthslip/configuration/changes.py
+++ b/src/amaranthslip/configuration/changes.py
@@ -28,7 +28,7 @@
         self.start = 0
         self._entries: dict[str, messages.StoreEntry] = {}
 
-    def restart(self, revision: int) -> None:
+    def reset(self, revision: int) -> None:
         """Clear the record after a full read of the store at a revision."""
         self.start = revision
         self._entries.clear()
--- a/src/amaranthslip/configuration/routes.py
+++ b/src/amaranthslip/configuration/routes.py
@@ -44,7 +44,7 @@
         first event, that counts as in time.
     gap_seconds : float
         The longest pause between a stream's events that counts as in time.
-    most_runs : int
+    max_runs : int
         The maximum number of backend servers that one request may run on.
     public : bool
         Whether requests are accepted without an API key.
@@ -62,7 +62,7 @@
         'timeout_seconds',
         'objective_seconds',
         'gap_seconds',
-        'most_runs',
+        'max_runs',
         'public',
         'resumable',
     )
@@ -78,7 +78,7 @@
         timeout_seconds: float,
         objective_seconds: float,
         gap_seconds: float = 0.0,
-        most_runs: int = 1,
+        max_runs: int = 1,
         public: bool = False,
         resumable: bool = False,
     ) -> None:
@@ -90,7 +90,7 @@
         self.timeout_seconds = timeout_seconds
         self.objective_seconds = objective_seconds
         self.gap_seconds = gap_seconds
-        self.most_runs = most_runs
+        self.max_runs = max_runs
         self.public = public
         self.resumable = resumable
 
--- a/src/amaranthslip/configuration/spread.py
+++ b/src/amaranthslip/configuration/spread.py
@@ -86,7 +86,7 @@
         self.forked = forked
 
 
-class Spread:
+class VersionPropagator:
     """Keeps an instance at the highest version of the fleet.
 
     Parameters
@@ -178,7 +178,7 @@
         """
         return self._versions.accept(snapshot)
 
-    def heard_version(self, peer: str, version: int) -> None:
+    def record_peer_version(self, peer: str, version: int) -> None:
         """Record the version of a peer; a higher one is pulled."""
         if self._versions.version and version <= self._versions.version:
             self._peer_versions.pop(peer, None)
@@ -336,7 +336,7 @@
 
 
 @functools.singledispatch
-def _handle(message: object, spread: Spread, sender: str) -> None:
+def _handle(message: object, spread: VersionPropagator, sender: str) -> None:
     raise errors.MessageInvalid(
         f'{type(message).__name__} is not a message about the configuration; '
         'pass it to the component that handles it'
@@ -344,29 +344,37 @@
 
 
 @_handle.register
-def _(message: messages.VersionRequest, spread: Spread, sender: str) -> None:
+def _(
+    message: messages.VersionRequest, spread: VersionPropagator, sender: str
+) -> None:
     spread.answer(sender, spread.versions.make_notice())
 
 
 @_handle.register
-def _(message: messages.VersionNotice, spread: Spread, sender: str) -> None:
-    spread.heard_version(sender, message.version)
+def _(
+    message: messages.VersionNotice, spread: VersionPropagator, sender: str
+) -> None:
+    spread.record_peer_version(sender, message.version)
     if message.version:
         spread.versions.compare(message.version, message.submission)
 
 
 @_handle.register
-def _(message: messages.ManifestRequest, spread: Spread, sender: str) -> None:
+def _(
+    message: messages.ManifestRequest, spread: VersionPropagator, sender: str
+) -> None:
     spread.answer(sender, spread.versions.make_manifest_answer())
 
 
 @_handle.register
-def _(message: messages.PartRequest, spread: Spread, sender: str) -> None:
+def _(
+    message: messages.PartRequest, spread: VersionPropagator, sender: str
+) -> None:
     answer = spread.versions.make_part_answer(message.digest)
     spread.answer(sender, answer)
 
 
 @_handle.register(messages.ManifestAnswer)
 @_handle.register(messages.PartAnswer)
-def _(message: object, spread: Spread, sender: str) -> None:
+def _(message: object, spread: VersionPropagator, sender: str) -> None:
     spread.puller.receive(sender, message)
--- a/src/amaranthslip/configuration/store.py
+++ b/src/amaranthslip/configuration/store.py
@@ -232,7 +232,7 @@
         ------
         ConfigurationRefused
             The version was certainly not applied.
-        ConfigurationUnknown
+        ConfigurationOutcomeUnknown
             The answer to the swap was lost, and reading the manifest did not
             determine the outcome.
         """
@@ -353,7 +353,7 @@
             except errors.PlatformError:
                 pass
             self._back_off(attempt)
-        raise errors.ConfigurationUnknown(
+        raise errors.ConfigurationOutcomeUnknown(
             f'version {manifest.version} may have been accepted: the '
             'answer of the key-value service to the submission was lost. '
             f'Look in the history for the submission {submission}: if it is '
--- a/src/amaranthslip/configuration/submission.py
+++ b/src/amaranthslip/configuration/submission.py
@@ -91,7 +91,7 @@
             Another version was accepted since the base.
         ConfigurationRefused
             The document was certainly not applied.
-        ConfigurationUnknown
+        ConfigurationOutcomeUnknown
             The document may have been applied; the message says how to find
             out.
         """
@@ -191,7 +191,7 @@
             base=base,
             current=current,
             difference=difference,
-            theirs=accepted_changes,
+            changes_since_base=accepted_changes,
         )
 
     def _load_current(
--- a/src/amaranthslip/configuration/watching.py
+++ b/src/amaranthslip/configuration/watching.py
@@ -143,7 +143,8 @@
             self._check_requested.wait(self.choose_check_delay())
             self._check_requested.clear()
             if not self._versions.version:
-                # The first version is read in `Spread`, at another rate.
+                # `VersionPropagator` reads the first version, at another
+                # rate.
                 gevent.sleep(_ROLE_CHECK_SECONDS)
             elif self.is_watcher():
                 self._check_store()
--- a/src/amaranthslip/console/api.py
+++ b/src/amaranthslip/console/api.py
@@ -157,7 +157,7 @@
         'base': error.base,
         'current': error.current,
         'difference': export_difference(error.difference),
-        'theirs': export_difference(error.theirs),
+        'theirs': export_difference(error.changes_since_base),
     }
     return make_json_response(content, 409)
 
@@ -173,7 +173,7 @@
 
 
 @make_error_response.register
-def _(error: errors.ConfigurationUnknown) -> wrappers.Response:
+def _(error: errors.ConfigurationOutcomeUnknown) -> wrappers.Response:
     content = {
         'error': 'unknown',
         'message': str(error),
--- a/src/amaranthslip/console/monitoring.py
+++ b/src/amaranthslip/console/monitoring.py
@@ -17,7 +17,7 @@
 _JSON_TYPE = 'application/json'
 
 
-class Monitoring(listening.SmallServer):
+class Monitoring(listening.AuxiliaryServer):
     """Serves `/health`, `/ready`, `/metrics` and `/api/status`.
 
     Parameters
--- a/src/amaranthslip/entries.py
+++ b/src/amaranthslip/entries.py
@@ -79,7 +79,9 @@
         """
         self._directory.start_grace_period(seconds)
 
-    def replace(self, entries: typing.Iterable[keyvalue.Entry]) -> None:
+    def replace_entries(
+        self, entries: typing.Iterable[keyvalue.Entry]
+    ) -> None:
         """Replace all known entries by those of a full read."""
         servers, instance_entries, quarantined_entries = [], [], []
         for entry in entries:
@@ -94,19 +96,19 @@
                 if server is not None:
                     servers.append(server)
         self._directory.replace(servers)
-        self._instances.replace(instance_entries)
-        self._quarantined.replace(quarantined_entries)
+        self._instances.replace_entries(instance_entries)
+        self._quarantined.replace_entries(quarantined_entries)
 
-    def apply(self, entry: keyvalue.Entry) -> None:
+    def apply_entry(self, entry: keyvalue.Entry) -> None:
         """Apply one entry that changed or was deleted."""
         if entry.key == configurations.KEY:
             self._apply_configuration(entry)
         elif entry.key.startswith(backends.PREFIX):
             self._apply_server(entry)
         elif entry.key.startswith(self._instances.prefix):
-            self._instances.take(entry)
+            self._instances.apply_entry(entry)
         elif entry.key.startswith(self._quarantined.prefix):
-            self._quarantined.take(entry)
+            self._quarantined.apply_entry(entry)
 
     def _apply_configuration(self, entry: keyvalue.Entry) -> None:
         if entry.value is None:
--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -290,7 +290,7 @@
             raise failure
         if self._crash_guard.is_quarantined(call):
             self._deny_retry(failure, 'crashes_servers')
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             self._deny_retry(failure, 'most_runs')
         if call.seconds_left < _MIN_TRY_SECONDS:
             self._deny_retry(failure, 'deadline')
@@ -363,7 +363,7 @@
     def _compose(
         self, call: routed.RoutedCall, place: places.Place
     ) -> outgoing.BackendRequest:
-        pairs = call.headers + wire.describe_try(
+        pairs = call.headers + wire.build_try_headers(
             server_name=place.server.name,
             client_account=call.placement_request.client_account,
             seconds_left=call.seconds_left,
@@ -408,7 +408,7 @@
         of all instances allow.
         """
         call.kept_connection_broke = True
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             return False
         if not self._budget.take_retry(call.placement_request.service):
             return False
@@ -422,7 +422,7 @@
         left = max(call.seconds_left, 0.001)
         if not call.route.repeatable:
             return left
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             return left
         timeout = _FIRST_BYTE_TIMEOUT_SECONDS
         timeout += _FIRST_BYTE_TIMEOUT_FACTOR * place.expected_seconds
@@ -436,7 +436,7 @@
         place: places.Place,
         sent_at: float,
     ) -> None:
-        if call.route.resumable and call.runs < call.route.most_runs:
+        if call.route.resumable and call.runs < call.route.max_runs:
             answer.set_idle_timeout(_STREAM_IDLE_SECONDS)
         else:
             answer.set_idle_timeout(max(call.seconds_left, 0.001))
@@ -506,7 +506,7 @@
         """Raise BackendFailed if a 5xx answer should be retried."""
         if not call.route.repeatable:
             return
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             return
         if call.seconds_left < _MIN_TRY_SECONDS:
             return
@@ -536,7 +536,7 @@
     the 4,600 requests of a busy minute opened a new connection, which costs a
     round trip and processor time of the server.
     """
-    if call.route.repeatable and call.runs < call.route.most_runs:
+    if call.route.repeatable and call.runs < call.route.max_runs:
         return outgoing.Reuse.ANY
     if call.route.repeatable or call.route.streams:
         # The request can't be resent if the connection breaks: its route
--- a/src/amaranthslip/entry/headers.py
+++ b/src/amaranthslip/entry/headers.py
@@ -43,12 +43,12 @@
 )
 _REPLACED_FOR_CALLER = frozenset(('content-length', 'date', 'x-request-id'))
 
-Pairs = list[tuple[str, str]]
+HeaderList = list[tuple[str, str]]
 
 
 def collect_request_headers(
     environ: dict[str, typing.Any], client_account: str
-) -> Pairs:
+) -> HeaderList:
     """Return the headers of a request to a plain service."""
     pairs = collect_forwarded(environ, _NOT_FORWARDED_TO_PLAIN)
     pairs.append(('X-Client-Account', client_account))
@@ -57,7 +57,7 @@
 
 def collect_forwarded(
     environ: dict[str, typing.Any], excluded_names: frozenset[str]
-) -> Pairs:
+) -> HeaderList:
     """Return the caller's headers that are forwarded unchanged.
 
     Parameters
@@ -83,7 +83,9 @@
     return pairs
 
 
-def strip_answer_headers(pairs: typing.Iterable[tuple[str, str]]) -> Pairs:
+def strip_answer_headers(
+    pairs: typing.Iterable[tuple[str, str]],
+) -> HeaderList:
     """Return the headers of a backend server's answer for the caller."""
     pairs = list(pairs)
     connection_names: set[str] = set()
--- a/src/amaranthslip/entry/outcomes.py
+++ b/src/amaranthslip/entry/outcomes.py
@@ -13,7 +13,7 @@
 REJECTIONS = frozenset(('rejected', 'misdirected')) | EXCLUSIONS
 
 
-def check_run(answer: responses.Response, facts: wire.AnswerFacts) -> None:
+def check_run(answer: responses.Response, facts: wire.AnswerHeaders) -> None:
     """Raise if a request was not run or its answer is not authentic.
 
     Raises
@@ -30,7 +30,7 @@
             sent=False,
             status=503,
         )
-    if facts.encoded or (answer.status < 300 and not facts.sealed):
+    if facts.encoded or (answer.status < 300 and not facts.signed):
         raise errors.BackendFailed(
             'foreign_answer',
             'the answer does not come from the backend server itself',
@@ -45,7 +45,7 @@
     )
 
 
-def list_caller_headers(answer: responses.Response) -> wire.Pairs:
+def list_caller_headers(answer: responses.Response) -> wire.HeaderList:
     """Return the headers of an answer that are passed on to the caller."""
     return wire.strip_internal(headers.strip_answer_headers(answer.headers))
 
--- a/src/amaranthslip/entry/readiness.py
+++ b/src/amaranthslip/entry/readiness.py
@@ -6,7 +6,7 @@
 from amaranthslip import settings as settings_
 
 
-class Readiness(listening.SmallServer):
+class Readiness(listening.AuxiliaryServer):
     """Answers 200 while this instance accepts new callers, else 503.
 
     Parameters
--- a/src/amaranthslip/entry/routed.py
+++ b/src/amaranthslip/entry/routed.py
@@ -38,7 +38,7 @@
         The method, request target and Host header of the request.
     headers : list of (str, str)
         Headers that are forwarded unchanged.
-    facts : RequestFacts
+    facts : RequestHeaders
         The decoded platform headers.
     body : bytes
         The whole body.
@@ -77,8 +77,8 @@
         method: str,
         target: str,
         host: str,
-        headers: wire.Pairs,
-        facts: wire.RequestFacts,
+        headers: wire.HeaderList,
+        facts: wire.RequestHeaders,
         body: bytes,
         key_authorised: bool,
         fingerprint: bytes,
@@ -225,7 +225,7 @@
         self,
         route: routes.Route,
         account: document.ClientAccount | None,
-        facts: wire.RequestFacts,
+        facts: wire.RequestHeaders,
         arrived: float,
     ) -> places.PlacementRequest:
         """Return the placement requirements of a request."""
@@ -245,7 +245,7 @@
         self,
         environ: dict[str, typing.Any],
         placement_request: places.PlacementRequest,
-        facts: wire.RequestFacts,
+        facts: wire.RequestHeaders,
         target: str,
         body: bytes,
     ) -> RoutedCall:
--- a/src/amaranthslip/errors.py
+++ b/src/amaranthslip/errors.py
@@ -125,7 +125,7 @@
         The version on which the submission is based, and the accepted one.
     difference : differences.Difference or None
         The changes of the submission relative to the accepted version.
-    theirs : differences.Difference or None
+    changes_since_base : differences.Difference or None
         The changes from the base to the accepted version, if known.
     """
 
@@ -136,13 +136,13 @@
         base: int,
         current: int,
         difference: object = None,
-        theirs: object = None,
+        changes_since_base: object = None,
     ) -> None:
         super().__init__(message)
         self.base = base
         self.current = current
         self.difference = difference
-        self.theirs = theirs
+        self.changes_since_base = changes_since_base
 
 
 class MessageInvalid(AmaranthslipError):
@@ -160,7 +160,7 @@
         self.reason = reason
 
 
-class ConfigurationUnknown(AmaranthslipError):
+class ConfigurationOutcomeUnknown(AmaranthslipError):
     """A submission that may have been accepted, because the answer was lost.
 
     `submission` is the submission's random id. The submission was accepted
--- a/src/amaranthslip/following.py
+++ b/src/amaranthslip/following.py
@@ -51,9 +51,9 @@
         Counts `store_calls` by their cause.
     random : random.Random
         Source of the backoff's jitter.
-    pauses : Pauses
+    pauses : Waiter
         The waits of `run`.
-    stamp_pauses : Pauses
+    stamp_pauses : Waiter
         The waits of `run_stamp_loop`.
     """
 
@@ -87,8 +87,8 @@
         metrics: metrics_module.Metrics,
         *,
         random: random_.Random | None = None,
-        pauses: pauses_module.Pauses | None = None,
-        stamp_pauses: pauses_module.Pauses | None = None,
+        pauses: pauses_module.Waiter | None = None,
+        stamp_pauses: pauses_module.Waiter | None = None,
     ) -> None:
         self._staleness = staleness
         self._key_value = key_value
@@ -104,8 +104,8 @@
         # last call was answered.
         self._store_lost_at: float | None = None
         self._consecutive_failures = 0
-        self._pauses = pauses or pauses_module.Pauses()
-        self._stamp_pauses = stamp_pauses or pauses_module.Pauses()
+        self._pauses = pauses or pauses_module.Waiter()
+        self._stamp_pauses = stamp_pauses or pauses_module.Waiter()
         # When relayed changes first began after the revision known here, so
         # that some between are missing; None: none are missing.
         self._gap_since: float | None = None
@@ -220,10 +220,10 @@
         self._metrics.count('store_calls', 'read_all')
         answer = self._key_value.read_entries('')
         self._record_answer()
-        self._entries.replace(answer.entries)
+        self._entries.replace_entries(answer.entries)
         # Changes during the read arrive by the next poll, or from the sources.
         self._revision = answer.revision
-        self._relaying.changes.restart(answer.revision)
+        self._relaying.changes.reset(answer.revision)
         self._confirm(started_at)
         # From here on this instance relies on its sources: they have to echo a
         # stamp before this knowledge reaches the fallback age.
@@ -260,7 +260,7 @@
                 return True
         return now - self._sources_confirmed_at >= self._fallback_age_seconds
 
-    def take_stamp(self, sender: str, message: messages.StoreStamp) -> None:
+    def receive_stamp(self, sender: str, message: messages.StoreStamp) -> None:
         """Record a listener's stamp, to be echoed with later changes.
 
         A listener that missed changes is sent them at once.
@@ -271,7 +271,7 @@
                 sender, self._revision, self._entries.grace_seconds
             )
 
-    def take_loss(self, sender: str) -> None:
+    def receive_store_loss(self, sender: str) -> None:
         """Record that a watcher does not reach the store."""
         self._relaying.sources.mark_store_lost(sender)
         self._pauses.wake()
@@ -284,7 +284,7 @@
             min(self._staleness.stamp_interval_seconds, remaining)
         )
 
-    def take_changes(
+    def receive_changes(
         self, sender: str, message: messages.StoreChanges
     ) -> None:
         """Apply the changes that a source relayed."""
@@ -386,7 +386,9 @@
 
     def _apply_entry(self, entry: messages.StoreEntry) -> None:
         value = None if entry.deleted else entry.value
-        self._entries.apply(keyvalue.Entry(entry.key, value, entry.revision))
+        self._entries.apply_entry(
+            keyvalue.Entry(entry.key, value, entry.revision)
+        )
         self._relaying.changes.add(entry)
 
     def _record_failure(self, error: errors.PlatformError) -> None:
--- a/src/amaranthslip/listening.py
+++ b/src/amaranthslip/listening.py
@@ -16,7 +16,7 @@
 ]
 
 
-class SmallServer:
+class AuxiliaryServer:
     """Serves a WSGI application at one address.
 
     Parameters
--- a/src/amaranthslip/operated.py
+++ b/src/amaranthslip/operated.py
@@ -146,7 +146,7 @@
             self._roster, self._links, self._freshness, staleness
         )
         self._instances = instances.StoredInstances(
-            settings, key_value, follows=True
+            settings, key_value, has_follower=True
         )
         self._build_quarantine(key_value)
         self._follower = following.Follower(
@@ -441,16 +441,16 @@
     def _(
         self, message: configuration_messages.StoreChanges, sender: str
     ) -> None:
-        self._follower.take_changes(sender, message)
+        self._follower.receive_changes(sender, message)
 
     @_route.register
     def _(
         self, message: configuration_messages.StoreStamp, sender: str
     ) -> None:
-        self._follower.take_stamp(sender, message)
+        self._follower.receive_stamp(sender, message)
 
     @_route.register
     def _(
         self, message: configuration_messages.StoreUnreachable, sender: str
     ) -> None:
-        self._follower.take_loss(sender)
+        self._follower.receive_store_loss(sender)
--- a/src/amaranthslip/pauses.py
+++ b/src/amaranthslip/pauses.py
@@ -4,7 +4,7 @@
 from gevent import event
 
 
-class Pauses:
+class Waiter:
     """Waits in real time; tests use an implementation with virtual time."""
 
     __slots__ = ('_wake_event',)
--- a/src/amaranthslip/platform/configurations.py
+++ b/src/amaranthslip/platform/configurations.py
@@ -116,7 +116,7 @@
         gap_seconds=float(values.get('target_gap_ms') or 0.0) / 1000,
         # `max_attempts` is the number of engines that may run the request,
         # including the first. A rejected try did not run and is not counted.
-        most_runs=max(1, int(values.get('max_attempts') or 1)),
+        max_runs=max(1, int(values.get('max_attempts') or 1)),
         public=bool(values.get('public', False)),
         resumable=bool(values.get('resumable', False)),
     )
--- a/src/amaranthslip/platform/headers.py
+++ b/src/amaranthslip/platform/headers.py
@@ -48,10 +48,10 @@
 )
 
 Environ = dict[str, typing.Any]
-Pairs = list[tuple[str, str]]
+HeaderList = list[tuple[str, str]]
 
 
-class RequestFacts:
+class RequestHeaders:
     """Values decoded from the headers of a caller's request.
 
     Parameters
@@ -83,12 +83,12 @@
         self.resume_after = resume_after
 
 
-class AnswerFacts:
+class AnswerHeaders:
     """Values decoded from the headers of a backend server's answer.
 
     Parameters
     ----------
-    sealed : bool
+    signed : bool
         Whether the answer carries the server's signature, which shows that
         the backend server itself generated the answer.
     not_run : bool
@@ -102,18 +102,18 @@
         status, and for a value that is not a number.
     """
 
-    __slots__ = ('sealed', 'not_run', 'encoded', 'leaving', 'retry_after')
+    __slots__ = ('signed', 'not_run', 'encoded', 'leaving', 'retry_after')
 
     def __init__(
         self,
         *,
-        sealed: bool,
+        signed: bool,
         not_run: bool,
         encoded: bool,
         leaving: bool,
         retry_after: float | None,
     ) -> None:
-        self.sealed = sealed
+        self.signed = signed
         self.not_run = not_run
         self.encoded = encoded
         self.leaving = leaving
@@ -125,13 +125,13 @@
     return environ.get('HTTP_AMARANTHSLIP_ATTEMPT_ID', '')
 
 
-def read_request(environ: Environ) -> RequestFacts:
+def read_request(environ: Environ) -> RequestHeaders:
     """Decode a request's headers; invalid values count as missing."""
     deadline_ms = _read_number(
         environ.get('HTTP_AMARANTHSLIP_DEADLINE_MS', '')
     )
     resume = _read_number(environ.get('HTTP_LAST_EVENT_ID', ''))
-    return RequestFacts(
+    return RequestHeaders(
         attempt_id=read_attempt_id(environ),
         wait_seconds=None if deadline_ms is None else deadline_ms / 1000,
         prompt=_read_prompt(environ),
@@ -175,13 +175,13 @@
     return float(text)
 
 
-def describe_try(
+def build_try_headers(
     *,
     server_name: str,
     client_account: str,
     seconds_left: float,
     resume_after: int,
-) -> Pairs:
+) -> HeaderList:
     """Return the headers that this system sets for one try.
 
     The server name lets a different server at the same address refuse the
@@ -200,14 +200,14 @@
 
 def read_answer(
     status: int, pairs: typing.Iterable[tuple[str, str]]
-) -> AnswerFacts:
+) -> AnswerHeaders:
     """Decode the headers of a backend server's answer."""
     values = {name.lower(): value for name, value in pairs}
     retry_after = None
     if status == _SERVICE_UNAVAILABLE:
         retry_after = _read_number(values.get(_RETRY_AFTER, ''))
-    return AnswerFacts(
-        sealed=_SEAL in values,
+    return AnswerHeaders(
+        signed=_SEAL in values,
         not_run=_NOT_RUN in values or status == _MISDIRECTED,
         encoded='content-encoding' in values,
         # A 421 answer comes from a server other than the expected one.
@@ -216,12 +216,14 @@
     )
 
 
-def strip_internal(pairs: typing.Iterable[tuple[str, str]]) -> Pairs:
+def strip_internal(pairs: typing.Iterable[tuple[str, str]]) -> HeaderList:
     """Return an answer's headers without the server's load report."""
     return [each for each in pairs if each[0].lower() != _LOAD]
 
 
-def strip_status_specific(pairs: typing.Iterable[tuple[str, str]]) -> Pairs:
+def strip_status_specific(
+    pairs: typing.Iterable[tuple[str, str]],
+) -> HeaderList:
     """Return an answer's headers without those tied to its original status.
 
     For an answer whose status is replaced. The signature applies only to the
--- a/src/amaranthslip/platform/instances.py
+++ b/src/amaranthslip/platform/instances.py
@@ -82,9 +82,10 @@
         Keys start with `platform.prefix`.
     key_value : KeyValue
         The client of the store.
-    follows : bool
+    has_follower : bool
         Whether a follower of the store passes the entries in through
-        `replace` and `take`. `read` then makes no call to the store.
+        `replace_entries` and `apply_entry`. `read` then makes no call to the
+        store.
     random : random.Random
         Source of the jitter of the renewals.
     """
@@ -92,7 +93,7 @@
     __slots__ = (
         'prefix',
         '_key_value',
-        '_follows',
+        '_has_follower',
         '_listed',
         '_random',
         '_entries_loaded',
@@ -104,12 +105,12 @@
         settings: settings_module.Settings,
         key_value: keyvalue.KeyValue,
         *,
-        follows: bool = False,
+        has_follower: bool = False,
         random: random_.Random | None = None,
     ) -> None:
         self.prefix = settings.platform.prefix + _FOLDER
         self._key_value = key_value
-        self._follows = follows
+        self._has_follower = has_follower
         self._listed: dict[str, ListedInstance] = {}
         self._entries_loaded = event.Event()
         self._random = random or random_.Random()
@@ -118,8 +119,8 @@
     def read(self) -> list[ListedInstance]:
         """Return the instances that are listed now.
 
-        With `follows`, waits briefly for the first entries. Without the wait,
-        a call before the first read would return an empty list, and the
+        With `has_follower`, waits briefly for the first entries. Without the
+        wait, a call before the first read would return an empty list, and the
         caller would only read again after a whole interval.
 
         Raises
@@ -128,20 +129,22 @@
             The store gave no usable answer. The caller should continue with
             the members that it knows.
         """
-        if self._follows:
+        if self._has_follower:
             self._entries_loaded.wait(_INITIAL_READ_TIMEOUT_SECONDS)
         else:
-            self.replace(self._key_value.read_prefix(self.prefix))
+            self.replace_entries(self._key_value.read_prefix(self.prefix))
         return list(self._listed.values())
 
-    def replace(self, entries: typing.Iterable[keyvalue.Entry]) -> None:
+    def replace_entries(
+        self, entries: typing.Iterable[keyvalue.Entry]
+    ) -> None:
         """Replace all listed instances by those of `entries`."""
         self._listed.clear()
         for entry in entries:
-            self.take(entry)
+            self.apply_entry(entry)
         self._entries_loaded.set()
 
-    def take(self, entry: keyvalue.Entry) -> None:
+    def apply_entry(self, entry: keyvalue.Entry) -> None:
         """Apply one entry that was changed or deleted."""
         name = entry.key.removeprefix(self.prefix)
         if entry.value is None:
@@ -153,7 +156,7 @@
 
     def keep_listed(self, member: members.Member) -> None:
         """Write this instance's entry and renew its lease until killed."""
-        if self._follows:
+        if self._has_follower:
             self._entries_loaded.wait(_INITIAL_READ_TIMEOUT_SECONDS)
             self._lease = self._find_lease(member)
         while True:
--- a/src/amaranthslip/platform/keyvalue.py
+++ b/src/amaranthslip/platform/keyvalue.py
@@ -16,7 +16,7 @@
 from amaranthslip import settings
 
 # The platform stores values of up to one megabyte.
-MOST_VALUE_BYTES = 1000000
+MAX_VALUE_BYTES = 1000000
 
 # A watch without an answer from the service for this time is ended, and the
 # prefix is read again. A watch that has stalled without an error would
@@ -281,11 +281,11 @@
         conditions: list[dict[str, typing.Any]],
         lease: int,
     ) -> int | None:
-        if len(value) > MOST_VALUE_BYTES:
+        if len(value) > MAX_VALUE_BYTES:
             self._metrics.count('platform_failures', 'too_large')
             raise errors.PlatformRefused(
                 f'{key}: {len(value)} bytes; the service stores values of up '
-                f'to {MOST_VALUE_BYTES}; split the value over several keys'
+                f'to {MAX_VALUE_BYTES}; split the value over several keys'
             )
         text = base64.b64encode(value).decode()
         reply = self._send_write(
--- a/src/amaranthslip/platform/quarantined.py
+++ b/src/amaranthslip/platform/quarantined.py
@@ -96,16 +96,18 @@
         if fingerprint in self._revisions.keys() | self._next_write_at.keys():
             self._enqueue(fingerprint, ())
 
-    def replace(self, entries: typing.Iterable[keyvalue.Entry]) -> None:
+    def replace_entries(
+        self, entries: typing.Iterable[keyvalue.Entry]
+    ) -> None:
         """Load all entries, and release requests that no longer have one."""
         deleted = set(self._revisions)
         for entry in entries:
-            self.take(entry)
+            self.apply_entry(entry)
             deleted.discard(self._read_fingerprint(entry))
         for fingerprint in deleted:
             self._forget(fingerprint)
 
-    def take(self, entry: keyvalue.Entry) -> None:
+    def apply_entry(self, entry: keyvalue.Entry) -> None:
         """Apply one entry that was changed or deleted."""
         fingerprint = self._read_fingerprint(entry)
         if fingerprint is None:
@@ -134,7 +136,7 @@
         while True:
             wait = _RELOAD_SECONDS
             try:
-                self.replace(self._key_value.read_prefix(self.prefix))
+                self.replace_entries(self._key_value.read_prefix(self.prefix))
             except errors.PlatformError as error:
                 _LOG.info('quarantine_not_loaded', extra={'error': error})
                 wait = _RETRY_SECONDS
--- a/src/amaranthslip/router.py
+++ b/src/amaranthslip/router.py
@@ -130,7 +130,7 @@
         )
         self._instances = instances.StoredInstances(settings, key_value)
         self._store = store.Store(settings, key_value)
-        self._spread = spread.Spread(
+        self._spread = spread.VersionPropagator(
             settings,
             self._holder,
             self._store,
@@ -253,7 +253,7 @@
             self._links,
             self.metrics,
             instance_list=self._instances,
-            on_version=self._record_version,
+            on_version=self._record_peer_version,
             get_version=self._read_version,
         )
 
@@ -271,9 +271,9 @@
             self.metrics,
         )
 
-    def _record_version(self, name: str, version: int) -> None:
+    def _record_peer_version(self, name: str, version: int) -> None:
         self._status.record_version(name, version)
-        self._spread.heard_version(name, version)
+        self._spread.record_peer_version(name, version)
 
     def _read_version(self) -> int:
         return self._holder.document.version
--- a/src/amaranthslip/status.py
+++ b/src/amaranthslip/status.py
@@ -15,7 +15,7 @@
     ----------
     members : Roster
         The members and their states.
-    versions : Spread
+    versions : VersionPropagator
         The configuration version in force at this instance.
     queues : Scheduler
         The requests queued at this instance.
@@ -34,7 +34,7 @@
     def __init__(
         self,
         members: roster.Roster,
-        versions: spread.Spread,
+        versions: spread.VersionPropagator,
         queues: scheduler.Scheduler,
         slots: dispatcher.Dispatcher,
     ) -> None:
--- a/tests/features/steps/claims.py
+++ b/tests/features/steps/claims.py
@@ -387,7 +387,7 @@
         )
         shard.put(record)
     value = shard.pack()
-    assert len(value) < keyvalue.MOST_VALUE_BYTES
+    assert len(value) < keyvalue.MAX_VALUE_BYTES
     context.fleet.store.apply('/amaranthslip/claims/0', value, 0)
 
 
--- a/tests/features/steps/platform_services.py
+++ b/tests/features/steps/platform_services.py
@@ -95,7 +95,7 @@
 
 @behave.when('{count:d} large key-value swaps raise {kind}')
 def swap_large(context, count, kind):
-    value = b'x' * (keyvalue.MOST_VALUE_BYTES - 1)
+    value = b'x' * (keyvalue.MAX_VALUE_BYTES - 1)
     for number in range(count):
         _swap(context, f'large-{number}', value, 0)
         check_error_kind(context, kind)
@@ -144,7 +144,7 @@
     'too large'
 )
 def swap_too_large(context, key):
-    _swap(context, key, b'x' * (keyvalue.MOST_VALUE_BYTES + 1), 0)
+    _swap(context, key, b'x' * (keyvalue.MAX_VALUE_BYTES + 1), 0)
 
 
 @behave.when('the key-value key "{key}" is deleted')
@@ -383,9 +383,9 @@
 def restart_instance(context, name):
     context.calls = _count_calls(context)
     listing = instances.StoredInstances(
-        context.key_value._settings, context.key_value, follows=True
+        context.key_value._settings, context.key_value, has_follower=True
     )
-    listing.replace(context.key_value.read_prefix(listing.prefix))
+    listing.replace_entries(context.key_value.read_prefix(listing.prefix))
     listing_task = gevent.spawn(listing.keep_listed, _build_member(name))
     context.add_cleanup(listing_task.kill)
 
--- a/tests/features/steps/relaying.py
+++ b/tests/features/steps/relaying.py
@@ -108,7 +108,7 @@
                 self.holder,
                 self.directory,
                 instances.StoredInstances(
-                    settings, context.store, follows=True
+                    settings, context.store, has_follower=True
                 ),
                 quarantined.StoredQuarantine(
                     settings, context.store, quarantine.Quarantine()
@@ -134,9 +134,9 @@
             continue
         member = context.members[name]
         if kind == 'StoreStamp':
-            member.follower.take_stamp(sender, message)
+            member.follower.receive_stamp(sender, message)
         else:
-            member.follower.take_changes(sender, message)
+            member.follower.receive_changes(sender, message)
 
 
 def _send_stamp(member):
--- a/tests/features/steps/sources.py
+++ b/tests/features/steps/sources.py
@@ -219,7 +219,7 @@
         entries.Entries(
             holder.Holder(),
             context.directory,
-            instances.StoredInstances(settings, store, follows=True),
+            instances.StoredInstances(settings, store, has_follower=True),
             quarantined.StoredQuarantine(
                 settings, store, quarantine.Quarantine()
             ),
@@ -245,7 +245,7 @@
     gone = messages.StoreEntry(
         key='servers/s-1', deleted=True, value=b'', revision=3
     )
-    context.follower.take_changes(
+    context.follower.receive_changes(
         'two',
         messages.StoreChanges(
             after=2, revision=3, echo=0, entries=[gone], lapse=1500
@@ -274,7 +274,7 @@
     if sent == 'an echo':
         stamp = int(context.now * 1000)
         context.now += 0.1
-        follower.take_changes(
+        follower.receive_changes(
             'two', messages.StoreChanges(after=2, revision=2, echo=stamp)
         )
 
--- a/tests/features/steps/store.py
+++ b/tests/features/steps/store.py
@@ -237,7 +237,7 @@
     'difference'
 )
 def check_differences(context, accepted, submitted):
-    changed = [each.name for each in context.error.theirs.changes]
+    changed = [each.name for each in context.error.changes_since_base.changes]
     assert changed == [accepted], changed
     names = {each.name for each in context.error.difference.changes}
     assert names == {accepted, submitted}, names
@@ -272,7 +272,7 @@
 
 @behave.then('the submission of writer "lan" has an unknown outcome')
 def check_unknown(context):
-    assert isinstance(context.error, errors.ConfigurationUnknown)
+    assert isinstance(context.error, errors.ConfigurationOutcomeUnknown)
     assert context.error.submission in str(context.error)
 
 
--- a/tests/support/fake_fleet.py
+++ b/tests/support/fake_fleet.py
@@ -52,7 +52,7 @@
         self.roster = roster.Roster(self.member)
         self.holder = holder.Holder()
         self.store = store.Store(settings, self.client)
-        self.spread = spread.Spread(
+        self.spread = spread.VersionPropagator(
             settings, self.holder, self.store, self.roster, self, self.metrics
         )
         self.submission = submission.Submission(
@@ -184,9 +184,13 @@
                 others = [each for each in self if each is not sender]
                 target = self.random.choice(others)
                 if self._is_transmitted(sender, target):
-                    target.spread.heard_version(sender.name, sender.version)
+                    target.spread.record_peer_version(
+                        sender.name, sender.version
+                    )
                 if self._is_transmitted(target, sender):
-                    sender.spread.heard_version(target.name, target.version)
+                    sender.spread.record_peer_version(
+                        target.name, target.version
+                    )
 
     def wait_for(self, version: int, *, seconds: float = 60) -> list[float]:
         """Wait until a version is in force on every reachable instance.
--- a/tests/support/quarantine_machine.py
+++ b/tests/support/quarantine_machine.py
@@ -122,7 +122,7 @@
 
     def read(self):
         """Load all entries of the store."""
-        self.stored.replace(self._fleet.store.entries.values())
+        self.stored.replace_entries(self._fleet.store.entries.values())
 
 
 class Fleet:
--- a/tests/support/store_followers.py
+++ b/tests/support/store_followers.py
@@ -55,7 +55,7 @@
 _SHARED_METRICS = metrics.Metrics()
 
 
-class Pauses:
+class Waiter:
     """Waits in virtual time; a frozen member resumes when its fault ends."""
 
     def __init__(self, simulation, name):
@@ -178,7 +178,9 @@
             entries.Entries(
                 self.holder,
                 directory.Directory(),
-                instances.StoredInstances(settings, self.client, follows=True),
+                instances.StoredInstances(
+                    settings, self.client, has_follower=True
+                ),
                 quarantined.StoredQuarantine(
                     settings, self.client, quarantine.Quarantine()
                 ),
@@ -188,8 +190,8 @@
             self.relaying,
             _SHARED_METRICS,
             random=random.Random(index),
-            pauses=Pauses(simulation, name),
-            stamp_pauses=Pauses(simulation, name),
+            pauses=Waiter(simulation, name),
+            stamp_pauses=Waiter(simulation, name),
         )
 
     def start(self):
@@ -206,11 +208,11 @@
 
     def receive(self, sender, message):
         if isinstance(message, messages.StoreStamp):
-            self.follower.take_stamp(sender, message)
+            self.follower.receive_stamp(sender, message)
         elif isinstance(message, messages.StoreChanges):
-            self.follower.take_changes(sender, message)
+            self.follower.receive_changes(sender, message)
         else:
-            self.follower.take_loss(sender)
+            self.follower.receive_store_loss(sender)
 
 
 def _build_member(name):
--- a/tests/support/store_machine.py
+++ b/tests/support/store_machine.py
@@ -62,7 +62,10 @@
         except errors.ConfigurationConflict as conflict:
             assert conflict.current > conflict.base
             return
-        except (errors.ConfigurationRefused, errors.ConfigurationUnknown):
+        except (
+            errors.ConfigurationRefused,
+            errors.ConfigurationOutcomeUnknown,
+        ):
             return
         finally:
             self.clients[number].lose_after = 0
