--- a/bench/relay.py
+++ b/bench/relay.py
@@ -93,7 +93,7 @@
 
 def serve(engine: str) -> None:
     """Run the entry's process."""
-    side = callers.Side(callers.build_document([engine]))
+    side = callers.EntryFixture(callers.build_document([engine]))
     print(json.dumps({'port': side.address[1]}), flush=True)
     gevent.get_hub().join()
 
--- a/tests/features/steps/connections.py
+++ b/tests/features/steps/connections.py
@@ -15,7 +15,7 @@
 
 def _start_server(context, handle_connection):
     context.now = 100.0
-    context.server = exchanges.Script(handle_connection)
+    context.server = exchanges.ScriptedServer(handle_connection)
     context.add_cleanup(context.server.close)
     context.connections = connections.Connections(
         callers.build_settings(), clock=lambda: context.now
--- a/tests/features/steps/crashes.py
+++ b/tests/features/steps/crashes.py
@@ -27,7 +27,7 @@
 def start_instances(context, count, servers):
     context.sides = []
     for number in range(count):
-        side = operated.Side(
+        side = operated.InstanceFixture(
             platform_of=context.sides[0] if context.sides else None,
             bounds=_BOUNDS,
             instance={'name': f'e{number}'},
@@ -58,7 +58,7 @@
         return operated.stream(1, 3)(backend, sock, request)
 
     for each in context.sides[0].backends.values():
-        each.always = respond
+        each.default_plan = respond
 
 
 @behave.when(
@@ -67,7 +67,7 @@
 )
 def send_in_turn(context, body, path, count):
     context.answers = [
-        context.sides[number % len(context.sides)].ask(
+        context.sides[number % len(context.sides)].send_request(
             path, body=body.encode(), attempt=f'{body}-{number}'
         )
         for number in range(count)
@@ -95,7 +95,7 @@
     for side in context.sides:
         # The last report may still be in transit.
         exchanges.wait_until(lambda: side.read_status()['quarantined'])
-        answer = side.ask(path, body=body.encode())
+        answer = side.send_request(path, body=body.encode())
         assert answer.status == 429, answer.data
         assert answer.error['code'] == code, answer.data
         assert answer.error['not_run'] is True
@@ -105,7 +105,7 @@
 @behave.then('each instance serves "{body}" for "{path}"')
 def check_served(context, body, path):
     for side in context.sides:
-        answer = side.ask(path, body=body.encode())
+        answer = side.send_request(path, body=body.encode())
         assert answer.status == 200 and answer.complete, answer.data
 
 
@@ -123,7 +123,7 @@
         side.instance.close()
     context.sides = []
     for number in range(3):
-        side = operated.Side(
+        side = operated.InstanceFixture(
             platform_of=platform,
             bounds=_BOUNDS,
             instance={'name': f'n{number}'},
@@ -137,7 +137,7 @@
 def delete_quarantine_entry(context):
     exchanges.wait_until(lambda: _list_quarantine_keys(context))
     (key,) = _list_quarantine_keys(context)
-    context.sides[0].order('/standin/remove', key=key)
+    context.sides[0].send_store_command('/standin/remove', key=key)
     for side in context.sides:
         exchanges.wait_until(lambda: not side.read_status()['quarantined'])
 
@@ -145,7 +145,7 @@
 @behave.when('the engines are fixed')
 def fix_engines(context):
     for each in context.sides[0].backends.values():
-        each.always = operated.stream(1, 3)
+        each.default_plan = operated.stream(1, 3)
 
 
 @behave.given('the engines crash under the request "{body}", and delay others')
@@ -159,7 +159,7 @@
         return operated.stream(1, 3)(backend, sock, request)
 
     for each in context.sides[0].backends.values():
-        each.always = respond
+        each.default_plan = respond
 
 
 @behave.when(
@@ -170,7 +170,7 @@
     context.path = path
     context.delayed = {
         f'other-{number}': operated.spawn(
-            context.sides[number % 3].ask,
+            context.sides[number % 3].send_request,
             path,
             body=b'other-%d' % number,
             attempt=f'other-{number}',
@@ -179,7 +179,7 @@
     }
     for _ in range(count):
         exchanges.wait_until(lambda: _count_started(context) == 12)
-        context.sides[0].ask(path, body=body.encode(), attempt='p')
+        context.sides[0].send_request(path, body=body.encode(), attempt='p')
     context.release.set()
 
 
@@ -196,7 +196,9 @@
         answer = delayed.get()
         if answer.status != 200:
             assert answer.status == 502, answer.data
-            answer = context.sides[0].ask(context.path, body=name.encode())
+            answer = context.sides[0].send_request(
+                context.path, body=name.encode()
+            )
         assert answer.status == 200 and answer.complete, answer.data
 
 
@@ -209,9 +211,11 @@
     'an entry in front of six plain servers and six engines that crash'
 )
 def start_entry(context):
-    context.scripts = [exchanges.Script(_crash_on_request) for _ in range(12)]
+    context.scripts = [
+        exchanges.ScriptedServer(_crash_on_request) for _ in range(12)
+    ]
     addresses = [each.address for each in context.scripts]
-    context.entry_side = callers.Side(
+    context.entry_side = callers.EntryFixture(
         callers.build_document(addresses[:6], addresses[6:])
     )
     context.add_cleanup(context.entry_side.close)
@@ -233,7 +237,7 @@
 @behave.when('the same {kind} request is sent {count:d} times')
 def send_same_request(context, kind, count):
     context.answers = [
-        exchanges.ask(context.entry_side, *_REQUESTS_BY_KIND[kind])
+        exchanges.send_request(context.entry_side, *_REQUESTS_BY_KIND[kind])
         for _ in range(count)
     ]
 
@@ -409,12 +413,12 @@
         return operated.crash(backend, sock, request)
 
     for each in context.side.backends.values():
-        each.always = respond
+        each.default_plan = respond
 
 
 @behave.when('a request for "{path}" waits for its answer')
 def start_request(context, path):
-    context.waiting = operated.spawn(context.side.ask, path)
+    context.waiting = operated.spawn(context.side.send_request, path)
     exchanges.wait_until(lambda: _list_servers_with_requests(context))
 
 
@@ -426,7 +430,7 @@
 def drain_and_exit(context):
     (server,) = _list_servers_with_requests(context)
     context.side.register(server, state='draining')
-    context.side.wait_known()
+    context.side.wait_until_synced()
     context.release.set()
     context.answer = context.waiting.get()
 
@@ -443,7 +447,7 @@
     for index, row in enumerate(context.table):
         body = row['body'].encode()
         for attempt in (f'f-{index}-1', f'f-{index}-2'):
-            context.side.ask(
+            context.side.send_request(
                 row['path'], key=row['key'], body=body, attempt=attempt
             )
     sent = {
--- a/tests/features/steps/entry.py
+++ b/tests/features/steps/entry.py
@@ -48,7 +48,9 @@
 )
 def request_completion_stream(context, count):
     values = {'model': 'llm', 'prompt': _PROMPT.format(count), 'stream': True}
-    received = exchanges.ask(context.side, 'POST', '/v1/completions', values)
+    received = exchanges.send_request(
+        context.side, 'POST', '/v1/completions', values
+    )
     context.received.append(received)
 
 
@@ -123,7 +125,9 @@
 @behave.when('a caller of the entry books at "{path}"')
 def book(context, path):
     booking = path.rpartition('/')[2]
-    received = exchanges.ask(context.side, 'POST', path, {'booking': booking})
+    received = exchanges.send_request(
+        context.side, 'POST', path, {'booking': booking}
+    )
     context.received.append(received)
 
 
@@ -150,7 +154,7 @@
         sock.sendall(answer)
 
     context.script = sides.serve_plain(context, respond)
-    received = exchanges.ask(
+    received = exchanges.send_request(
         context.side,
         'PUT',
         '/services/booking/status/a%20b?q=%2F&r=1',
@@ -186,7 +190,7 @@
 @behave.when('a caller of the entry books with the idempotency key "{key}"')
 @behave.when('a caller of the entry repeats the booking with the key "{key}"')
 def book_with_key(context, key):
-    received = exchanges.ask(
+    received = exchanges.send_request(
         context.side,
         'POST',
         '/services/booking/bookings',
--- a/tests/features/steps/health.py
+++ b/tests/features/steps/health.py
@@ -268,7 +268,8 @@
 @behave.given('a load poller that owns two stand-in engines')
 def start_poller(context):
     context.engines = [
-        sides.add(context, exchanges.Engine(step=0.05)) for _ in range(2)
+        sides.close_after_scenario(context, exchanges.Engine(step=0.05))
+        for _ in range(2)
     ]
     servers = [
         _build_server(f'e{number}', engine.address)
@@ -324,7 +325,7 @@
             sock.sendall(exchanges.write_answer(body))
 
     context.broken = sides.add_script(context, follow)
-    engine = sides.add(context, exchanges.Engine())
+    engine = sides.close_after_scenario(context, exchanges.Engine())
     servers = [
         _build_server('broken', context.broken.address),
         _build_server('e1', engine.address),
--- a/tests/features/steps/leaving.py
+++ b/tests/features/steps/leaving.py
@@ -14,7 +14,9 @@
 def start_stage(context, stage):
     context.disconnected = event.Event()
     if stage == 'streaming':
-        engine = sides.add(context, exchanges.Engine(step=0.01))
+        engine = sides.close_after_scenario(
+            context, exchanges.Engine(step=0.01)
+        )
         context.engine = engine.engine
         sides.start(context, engines=[engine.address])
         return
--- a/tests/features/steps/limits.py
+++ b/tests/features/steps/limits.py
@@ -113,7 +113,7 @@
 
 @behave.then('the entry refuses a further connection with "{code}"')
 def check_connection_refused(context, code):
-    received = exchanges.ask(context.side, 'GET', '/v1/models')
+    received = exchanges.send_request(context.side, 'GET', '/v1/models')
     assert received.status == 503 and received.error['code'] == code
     assert received.error['not_run'] and received.headers['retry-after']
 
@@ -122,7 +122,10 @@
 def disconnect_one(context):
     context.open_callers[0].close()
     exchanges.wait_until(
-        lambda: exchanges.ask(context.side, 'GET', '/v1/models').status == 200
+        lambda: (
+            exchanges.send_request(context.side, 'GET', '/v1/models').status
+            == 200
+        )
     )
 
 
--- a/tests/features/steps/operated.py
+++ b/tests/features/steps/operated.py
@@ -22,7 +22,7 @@
 def start_instance(context):
     # Long enough for a slow machine; scenarios that test these bounds set
     # their own.
-    context.side = operated.Side(
+    context.side = operated.InstanceFixture(
         bounds={'revoke_milliseconds': 60000, 'apply_milliseconds': 30000},
         shutdown={'notice_seconds': _STOP_SECONDS, 'finish_seconds': 30},
     )
@@ -65,12 +65,12 @@
         return rest(backend, sock, request)
 
     for each in _list_backends(context, service):
-        each.always = respond
+        each.default_plan = respond
 
 
 def _plan_all(context, service, plan):
     for each in _list_backends(context, service):
-        each.always = plan
+        each.default_plan = plan
 
 
 # -- actions of the operator and the platform -----------------------------
@@ -79,7 +79,7 @@
 def _configure(context, **values):
     context.version += 1
     context.side.configure(context.version, **values)
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 @behave.when('the operator adds the route "{prefix}" to the service "{name}"')
@@ -103,7 +103,7 @@
 def write_older_version(context):
     context.side.configure(5)
     context.side.configure(3)
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 @behave.then('version {version:d} is in force')
@@ -131,7 +131,7 @@
 
 
 def _set_store_fault(context, mode):
-    context.side.order('/standin/faults', mode=mode)
+    context.side.send_store_command('/standin/faults', mode=mode)
 
 
 @behave.when(
@@ -152,7 +152,7 @@
     _set_bounds(context, revoke=60000, apply=30000)
     _set_store_fault(context, 'up')
     exchanges.wait_until(lambda: context.side.instance.reaches_store)
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 @behave.when("the store is down, and every plain server's entry expires")
@@ -166,7 +166,7 @@
 @behave.then('the plain servers are removed after missing for too long')
 def check_removed(context):
     exchanges.wait_until(
-        lambda: context.side.ask('/open/x', key='').status == 503
+        lambda: context.side.send_request('/open/x', key='').status == 503
     )
 
 
@@ -177,15 +177,15 @@
 def compact_history(context):
     context.first = _list_backends(context, 'plain')[0]
     context.side.remove_entry(context.first.name)
-    context.side.order('/standin/compact', now=True)
-    context.side.wait_known()
+    context.side.send_store_command('/standin/compact', now=True)
+    context.side.wait_until_synced()
 
 
 @behave.when('the first plain server registers as leaving')
 def register_leaving(context):
     context.first = _list_backends(context, 'plain')[0]
     context.side.register(context.first, state='draining')
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 @behave.when('the entry of another server is {entry}')
@@ -203,7 +203,7 @@
         'with a number as service': values | {'service': 7},
     }
     context.side.write_entry('plain-3', entries[entry])
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 # -- behaviour of backend servers -----------------------------------------
@@ -222,7 +222,7 @@
 @behave.given('the second engine answers 500')
 def fail_second(context):
     engines = _list_backends(context, 'llm')
-    first = engines[0].always
+    first = engines[0].default_plan
 
     def respond(backend, sock, request):
         if request.headers.get('last-event-id'):
@@ -317,7 +317,7 @@
     for each in _list_backends(context, 'plain')[:1]:
         address = exchanges.find_free_address()
         context.side.write_entry(each.name, each.build_entry(address=address))
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 @behave.given('the first plain server {fault}')
@@ -359,7 +359,7 @@
 
 @behave.when('a request for "{path}" has a method that HTTP does not allow')
 def send_invalid_method(context, path):
-    context.answer = context.side.ask(path, method='B(D')
+    context.answer = context.side.send_request(path, method='B(D')
 
 
 _LEAVING_ANSWERS = {
@@ -392,7 +392,7 @@
         return plan(backend, sock, request)
 
     for each in _list_backends(context, service):
-        each.always = respond
+        each.default_plan = respond
 
 
 @behave.then('exactly one log record reports that this server is leaving')
@@ -421,7 +421,7 @@
         return plan(backend, sock, request)
 
     for each in _list_backends(context, service):
-        each.always = respond
+        each.default_plan = respond
 
 
 @behave.given(
@@ -452,12 +452,12 @@
     only, *others = _list_backends(context, 'plain')
     for each in others:
         context.side.remove_entry(each.name)
-    context.side.wait_known()
+    context.side.wait_until_synced()
     context.backend = only
 
     def break_after_refusal(backend, sock, request):
         backend.plans.append(operated.refuse(Retry_After=seconds))
-        other = context.side.ask('/read/x', attempt='refused')
+        other = context.side.send_request('/read/x', attempt='refused')
         assert other.status == 503, other.data
         return False
 
@@ -466,8 +466,8 @@
 
 @behave.when('a request for "{path}" is sent on the connection that breaks')
 def send_on_breaking_connection(context, path):
-    assert context.side.ask(path, attempt='first').status == 200
-    context.answer = context.side.ask(path, attempt='broken')
+    assert context.side.send_request(path, attempt='first').status == 200
+    context.answer = context.side.send_request(path, attempt='broken')
 
 
 @behave.then('the server received no request after that refusal')
@@ -506,7 +506,7 @@
 )
 def send_in_turn(context, count, path, key):
     context.answers = [
-        context.side.ask(path, key=key, attempt=f'l-{number}')
+        context.side.send_request(path, key=key, attempt=f'l-{number}')
         for number in range(count)
     ]
 
@@ -515,9 +515,9 @@
 def rewrite_entry(context):
     (receiver,) = context.first_receivers
     context.side.remove_entry(receiver.name)
-    context.side.wait_known()
+    context.side.wait_until_synced()
     context.side.register(receiver)
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 @behave.when('it restarts under its name')
@@ -526,7 +526,7 @@
     receiver.leaving = False
     receiver.born += 1
     context.side.register(receiver)
-    context.side.wait_known()
+    context.side.wait_until_synced()
 
 
 @behave.then('this server received 1 request')
@@ -565,7 +565,7 @@
 
 @behave.when('a request for "{path}" sets the headers reserved for the system')
 def send_system_headers(context, path):
-    context.answer = context.side.ask(
+    context.answer = context.side.send_request(
         path,
         Amaranthslip_Tenant='account-b',
         Amaranthslip_Hold='h',
@@ -611,28 +611,28 @@
 
 @behave.when('a request for "{path}" comes with the key "{key}"')
 def send_request(context, path, key):
-    context.answer = context.side.ask(path, key=key)
+    context.answer = context.side.send_request(path, key=key)
 
 
 @behave.when('a request for "{path}" comes with the key ""')
 def send_without_key(context, path):
-    context.answer = context.side.ask(path, key='')
+    context.answer = context.side.send_request(path, key='')
 
 
 @behave.when('a request for "{path}" comes with a body of {size:d} bytes')
 def send_large_body(context, path, size):
-    context.answer = context.side.ask(path, body=b'x' * size)
+    context.answer = context.side.send_request(path, body=b'x' * size)
 
 
 @behave.then('a request for "{path}" with the key "{key}" gets {status:d}')
 def check_request_status(context, path, key, status):
-    found = context.side.ask(path, key=key)
+    found = context.side.send_request(path, key=key)
     assert found.status == status, found.data
 
 
 @behave.then('a request for "{path}" without a key gets {status:d}')
 def check_keyless_request_status(context, path, status):
-    found = context.side.ask(path, key='')
+    found = context.side.send_request(path, key='')
     assert found.status == status, found.data
 
 
@@ -698,12 +698,12 @@
 
 @behave.when('a caller requests a stream from "{path}" after event {number:d}')
 def resume_stream(context, path, number):
-    context.answer = context.side.ask(path, Last_Event_Id=str(number))
+    context.answer = context.side.send_request(path, Last_Event_Id=str(number))
 
 
 @behave.when('a caller requests a stream from "{path}"')
 def request_stream(context, path):
-    context.answer = context.side.ask(path)
+    context.answer = context.side.send_request(path)
 
 
 @behave.then(
@@ -742,7 +742,7 @@
 def send_with_ids(context, path):
     context.answers = {}
     for attempt in ('a-1', 'a-2', 'a-3', 'a-4', 'a-5', 'a-6'):
-        context.answers[attempt] = context.side.ask(
+        context.answers[attempt] = context.side.send_request(
             path, key='', attempt=attempt
         )
 
@@ -756,7 +756,9 @@
 @behave.when('{count:d} requests for "{path}" come one after the other')
 def send_several(context, count, path):
     context.answers = {
-        f'm-{number}': context.side.ask(path, key='', attempt=f'm-{number}')
+        f'm-{number}': context.side.send_request(
+            path, key='', attempt=f'm-{number}'
+        )
         for number in range(count)
     }
 
@@ -789,7 +791,7 @@
 
 @behave.when('the instance is stopped while a caller waits')
 def stop_instance(context):
-    context.waiting = operated.spawn(context.side.ask, '/chat/x')
+    context.waiting = operated.spawn(context.side.send_request, '/chat/x')
     exchanges.wait_until(lambda: _list_contacted(context))
     context.stopping = operated.spawn(context.side.instance.stop)
     gevent.sleep(0)
@@ -797,7 +799,7 @@
 
 @behave.then('a new request is answered 200 and its connection is closed')
 def check_new_request(context):
-    found = context.side.ask('/open/x', key='')
+    found = context.side.send_request('/open/x', key='')
     assert found.status == 200, found.data
     assert found.headers['connection'] == 'close'
 
--- a/tests/features/steps/relay.py
+++ b/tests/features/steps/relay.py
@@ -19,7 +19,7 @@
 
 
 def _add_chunked(context, plan):
-    return sides.add(context, exchanges.ChunkedEngine(plan))
+    return sides.close_after_scenario(context, exchanges.ChunkedEngine(plan))
 
 
 def _build_expected_text(count, *, chat=True):
@@ -34,7 +34,7 @@
 def start_engines(context, count):
     context.engines = [exchanges.Engine() for _ in range(count)]
     for engine in context.engines:
-        sides.add(context, engine)
+        sides.close_after_scenario(context, engine)
     _start(context, engines=[each.address for each in context.engines])
 
 
@@ -51,7 +51,7 @@
     values = exchanges.write_chat(prompt, stream=True, **fields)
     if path == 'completions':
         values = {'model': 'llm', 'prompt': prompt, 'stream': True} | fields
-    context.received = exchanges.ask(
+    context.received = exchanges.send_request(
         context.side, 'POST', f'/v1/{path}', values, X_Request_Kind=kind
     )
 
@@ -250,7 +250,7 @@
 
 @behave.when('a caller of the relay requests a status')
 def request_status(context):
-    context.received = exchanges.ask(
+    context.received = exchanges.send_request(
         context.side, 'GET', '/services/booking/status'
     )
 
@@ -310,7 +310,7 @@
     context.answers = []
     for number in '12':
         path = f'/services/booking/status/{number}'
-        received = exchanges.ask(context.side, 'GET', path)
+        received = exchanges.send_request(context.side, 'GET', path)
         context.answers.append(received.body)
         context.answered.set()
         assert context.late_sent.wait(_WAIT_SECONDS)
--- a/tests/features/steps/relay_fuzz.py
+++ b/tests/features/steps/relay_fuzz.py
@@ -34,7 +34,7 @@
 def relay_drawn_streams(context):
     plans = {}
     engines = [
-        sides.add(
+        sides.close_after_scenario(
             context,
             exchanges.ChunkedEngine(
                 lambda text, engine_number=engine_number: plans[text][
@@ -64,7 +64,11 @@
                 values[number]['stream_options'] = {'include_usage': True}
         greenlets = [
             gevent.spawn(
-                exchanges.ask, side, 'POST', '/v1/chat/completions', each
+                exchanges.send_request,
+                side,
+                'POST',
+                '/v1/chat/completions',
+                each,
             )
             for each in values.values()
         ]
--- a/tests/features/steps/retries.py
+++ b/tests/features/steps/retries.py
@@ -96,7 +96,7 @@
 
 
 def _send_request(context, method, path):
-    received = exchanges.ask(context.side, method, path, b'{}')
+    received = exchanges.send_request(context.side, method, path, b'{}')
     context.answers.append(received)
 
 
--- a/tests/support/callers.py
+++ b/tests/support/callers.py
@@ -203,7 +203,7 @@
         return low
 
 
-class Side:
+class EntryFixture:
     """One HTTP entry on its own port, with its fake dependencies."""
 
     def __init__(self, configuration, **sections):
--- a/tests/support/exchanges.py
+++ b/tests/support/exchanges.py
@@ -135,7 +135,7 @@
     return {'model': 'llm', 'messages': messages} | values
 
 
-def ask(side, *args, **options):
+def send_request(side, *args, **options):
     """Send one request on a new connection and return its answer."""
     caller = Caller(side.address)
     try:
@@ -144,7 +144,7 @@
         caller.close()
 
 
-class Script:
+class ScriptedServer:
     """A backend server whose connections are handled by a function."""
 
     def __init__(self, respond):
@@ -314,7 +314,7 @@
             position, chunk_number = position + size, chunk_number + 1
 
 
-class ChunkedEngine(Script):
+class ChunkedEngine(ScriptedServer):
     """An engine whose streams are split and cut at given positions.
 
     `plan(text)` returns the StreamPlan for the prompt's text. The engine
--- a/tests/support/operated.py
+++ b/tests/support/operated.py
@@ -17,13 +17,13 @@
 _SEAL = 'Amaranthslip-Server-Seal'
 
 
-class Backend(exchanges.Script):
+class Backend(exchanges.ScriptedServer):
     """A backend server that handles each request by a plan.
 
     A plan is a function of (backend, socket, request) that sends the answer
     and returns False to close the connection. `plans` holds the plans of the
-    next requests; after these, each request is handled by `always`, if set,
-    or else answered with 200 and the name of the server.
+    next requests; after these, each request is handled by `default_plan`, if
+    set, or else answered with 200 and the name of the server.
     """
 
     def __init__(self, name, *, service, zone='a', slots=8):
@@ -33,7 +33,7 @@
         self.zone = zone
         self.slots = slots
         self.plans = []
-        self.always = None
+        self.default_plan = None
         self.closed_early = 0
         # Whether its answers report that it is leaving.
         self.leaving = False
@@ -59,7 +59,7 @@
     def _answer(self, script, sock):
         while data := self.read(sock):
             request = Request(data)
-            plan = self.plans.pop(0) if self.plans else self.always
+            plan = self.plans.pop(0) if self.plans else self.default_plan
             self.running += 1
             try:
                 keep_open = (plan or _answer_name)(self, sock, request)
@@ -247,12 +247,12 @@
     } | values
 
 
-class Side:
+class InstanceFixture:
     """An instance, its store and its backend servers.
 
     Parameters
     ----------
-    platform_of : Side or None
+    platform_of : InstanceFixture or None
         Another instance whose store and backend servers this one uses.
     """
 
@@ -295,14 +295,14 @@
     def readiness(self):
         return split_address(self.instance.readiness_address)
 
-    def order(self, path, **values):
+    def send_store_command(self, path, **values):
         """Send a control command to the stand-in store."""
         return ask_json(('127.0.0.1', self.store.server_port), path, values)
 
     def configure(self, version=1, **values):
         """Write a configuration version to the store, as the operator does."""
         text = json.dumps(build_configuration(version, **values))
-        self.order('/standin/put', key='op/config', text=text)
+        self.send_store_command('/standin/put', key='op/config', text=text)
 
     def register(self, backend, **values):
         """Write the entry of a backend server, as the server does itself."""
@@ -312,19 +312,21 @@
     def write_entry(self, name, entry):
         """Write the entry of a server; a string is written as it is."""
         text = entry if isinstance(entry, str) else json.dumps(entry)
-        self.order('/standin/put', key=f'servers/{name}', text=text)
+        self.send_store_command(
+            '/standin/put', key=f'servers/{name}', text=text
+        )
 
     def remove_entry(self, name):
         """Remove the entry of a server, as if it had expired."""
-        self.order('/standin/remove', key=f'servers/{name}')
+        self.send_store_command('/standin/remove', key=f'servers/{name}')
 
     def start(self):
         """Start the instance and wait until it is ready."""
         self.instance.start()
         exchanges.wait_until(self.instance.is_ready)
-        self.wait_known()
+        self.wait_until_synced()
 
-    def wait_known(self):
+    def wait_until_synced(self):
         """Wait until the instance has applied the store's current revision."""
         exchanges.wait_until(
             lambda: (
@@ -332,7 +334,7 @@
             )
         )
 
-    def ask(self, path, *, attempt='a-1', caller=None, **options):
+    def send_request(self, path, *, attempt='a-1', caller=None, **options):
         """Send one request and return its answer."""
         data = write_request(path, attempt, **options)
         connection = caller or exchanges.Caller(self.address)
--- a/tests/support/sides.py
+++ b/tests/support/sides.py
@@ -7,12 +7,12 @@
 def start(context, *, engines=(), plain=(), deadline=30.0, **sections):
     """Start `context.side` in front of servers at the given addresses."""
     configuration = callers.build_document(engines, plain, deadline=deadline)
-    context.side = callers.Side(configuration, **sections)
+    context.side = callers.EntryFixture(configuration, **sections)
     context.add_cleanup(context.side.close)
     return context.side
 
 
-def add(context, server):
+def close_after_scenario(context, server):
     """Close a server at the end of the scenario; return the server."""
     context.add_cleanup(server.close)
     return server
@@ -20,7 +20,7 @@
 
 def add_script(context, respond):
     """Start a server whose connections are handled by `respond`."""
-    return add(context, exchanges.Script(respond))
+    return close_after_scenario(context, exchanges.ScriptedServer(respond))
 
 
 def serve_plain(context, respond):
@@ -34,7 +34,9 @@
 
 def connect(context):
     """Open a caller's connection; closed at the end of the scenario."""
-    return add(context, exchanges.Caller(context.side.address))
+    return close_after_scenario(
+        context, exchanges.Caller(context.side.address)
+    )
 
 
 # Small enough for a test to exceed the limits with little data and time.
@@ -49,8 +51,8 @@
 
 def start_served(context, **limits):
     """Start an entry in front of a stand-in engine and a booking service."""
-    context.engine = add(context, exchanges.Engine())
-    context.plain = add(context, exchanges.Plain())
+    context.engine = close_after_scenario(context, exchanges.Engine())
+    context.plain = close_after_scenario(context, exchanges.Plain())
     context.received = []
     start(
         context,
@@ -62,7 +64,7 @@
 
 def ask_chat(context, values, **headers):
     """Request a chat on a new connection; store and return the answer."""
-    received = exchanges.ask(
+    received = exchanges.send_request(
         context.side, 'POST', '/v1/chat/completions', values, **headers
     )
     context.received.append(received)
