--- a/tests/features/steps/sources.py
+++ b/tests/features/steps/sources.py
@@ -149,9 +149,9 @@
     'changes of the store up to revision {last:d}, of which {kept:d} are kept'
 )
 def keep_changes(context, last, kept):
-    before = changes._MOST_KEYS
-    changes._MOST_KEYS = kept
-    context.add_cleanup(setattr, changes, '_MOST_KEYS', before)
+    before = changes._MAX_KEYS
+    changes._MAX_KEYS = kept
+    context.add_cleanup(setattr, changes, '_MAX_KEYS', before)
     context.changes = changes.Changes()
     for revision in range(1, last + 1):
         context.changes.add(
