--- a/src/amaranthslip/entry/claiming.py
+++ b/src/amaranthslip/entry/claiming.py
@@ -19,7 +19,7 @@
 }
 
 
-class ClaimManager:
+class CallClaims:
     """Claims and settles the idempotency keys of non-idempotent calls.
 
     Parameters
@@ -73,6 +73,6 @@
 
 
 def _fingerprint(call: calls.Call) -> int:
-    return claim_keys.fingerprint(
+    return claim_keys.hash_request(
         call.method.encode(), call.target.encode(), call.body
     )
--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -7,9 +7,9 @@
 
 import gevent
 
-from amaranthslip.backends import answers
 from amaranthslip.backends import connections as connections_
 from amaranthslip.backends import outgoing
+from amaranthslip.backends import responses
 from amaranthslip.capacity import directory as directory_
 from amaranthslip.configuration import document
 from amaranthslip.entry import attempts
@@ -59,14 +59,14 @@
 _NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
-class Forwarding:
+class Forwarder:
     """Sends routed calls to backend servers and relays their answers.
 
     Parameters
     ----------
     settings : Settings
         The `limits` section is used.
-    reader : RouteReader
+    reader : RouteResolver
         Checks whether the known API keys are recent enough to be trusted.
     keepers : Keepers
         Reserves places at backend servers.
@@ -84,7 +84,7 @@
     metrics : Metrics
         Counts failed tries, retries and denied retries by reason, and records
         the latencies of first events.
-    read_hold : callable
+    read_batch_seconds : callable
         Returns the seconds for which a stream's events are batched before
         they are written to the caller.
     """
@@ -99,13 +99,13 @@
         '_connections',
         '_crash_guard',
         '_metrics',
-        '_read_hold',
+        '_read_batch_seconds',
     )
 
     def __init__(
         self,
         settings: settings_.Settings,
-        reader: routed.RouteReader,
+        reader: routed.RouteResolver,
         keepers: keepers_.Keepers,
         demand: demand_.Demand,
         budget: budget_.FleetBudget,
@@ -114,9 +114,9 @@
         crash_guard: crashes.CrashGuard,
         metrics: metrics_.Metrics,
         *,
-        read_hold: typing.Callable[[], float] = lambda: 0.0,
+        read_batch_seconds: typing.Callable[[], float] = lambda: 0.0,
     ) -> None:
-        self._read_hold = read_hold
+        self._read_batch_seconds = read_batch_seconds
         self._settings = settings
         self._reader = reader
         self._keepers = keepers
@@ -143,7 +143,7 @@
             The request was not run.
         BackendFailed
             The request may have run.
-        CallerLeft, AnswerAborted
+        CallerDisconnected, AnswerAborted
             The connection to the caller has to be closed.
         """
         relay = None
@@ -152,11 +152,17 @@
                 caller,
                 call.request_id,
                 last_id=call.resumed_after,
-                read_hold=self._read_hold,
+                read_batch_seconds=self._read_batch_seconds,
             )
-        if call.need.prompt is not None and call.need.account:
-            self._demand.note_asked(call.need.account, call.need.tokens)
-        self._budget.note_request(call.need.service)
+        if (
+            call.placement_request.prompt is not None
+            and call.placement_request.client_account
+        ):
+            self._demand.note_requested(
+                call.placement_request.client_account,
+                call.placement_request.tokens,
+            )
+        self._budget.note_request(call.placement_request.service)
         caller.watch()
         try:
             return self._run_until_deadline(call, relay, caller)
@@ -174,7 +180,7 @@
                 raise callers.AnswerAborted() from error
             raise outcomes.build_final_error(call, error) from error
         finally:
-            caller.ignore()
+            caller.stop_watching()
 
     def _run_until_deadline(
         self,
@@ -203,8 +209,8 @@
         while True:
             self._reader.check_keys_trusted(call)
             self._crash_guard.check(call)
-            caller.check()
-            place = self._keepers.reserve(call.need)
+            caller.check_connected()
+            place = self._keepers.reserve(call.placement_request)
             self._count_granted(call)
             call.tries += 1
             with place:
@@ -213,7 +219,7 @@
                 except errors.BackendFailed as failure:
                     self._record_failure(call, relay, place, failure)
                     self._check_retry_allowed(call, relay, failure)
-                except callers.CallerLeft:
+                except callers.CallerDisconnected:
                     place.cancel()
                     raise
                 except errors.RequestRefused:
@@ -226,11 +232,17 @@
     def _count_granted(self, call: routed.RoutedCall) -> None:
         # Counted once per request, as its demand is. A retry uses the engines
         # again, but the client account did not request it.
-        if call.need.granted:
+        if call.placement_request.placed_before:
             return
-        call.need.granted = True
-        if call.need.account and call.need.prompt:
-            self._demand.note_granted(call.need.account, call.need.tokens)
+        call.placement_request.placed_before = True
+        if (
+            call.placement_request.client_account
+            and call.placement_request.prompt
+        ):
+            self._demand.note_granted(
+                call.placement_request.client_account,
+                call.placement_request.tokens,
+            )
 
     def _record_failure(
         self,
@@ -239,7 +251,7 @@
         place: places.Place,
         failure: errors.BackendFailed,
     ) -> None:
-        call.need.excluded.add(place.server.name)
+        call.placement_request.excluded_servers.add(place.server.name)
         if failure.reason in outcomes.REJECTIONS:
             place.reject()
         else:
@@ -278,12 +290,12 @@
             raise failure
         if self._crash_guard.is_quarantined(call):
             self._deny_retry(failure, 'crashes_servers')
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             self._deny_retry(failure, 'most_runs')
         if call.seconds_left < _MIN_TRY_SECONDS:
             self._deny_retry(failure, 'deadline')
         if failure.reason not in _UNCHARGED_REASONS:
-            if not self._budget.take(call.need.service):
+            if not self._budget.take_retry(call.placement_request.service):
                 self._deny_retry(failure, 'budget')
         if relay is not None:
             call.resumed_after = relay.last_id
@@ -318,7 +330,9 @@
                 'server': place.server.name,
                 'service': place.server.service,
                 'expected_ms': int(place.expected_seconds * 1000),
-                'waited_ms': int((started_at - call.need.arrived) * 1000),
+                'waited_ms': int(
+                    (started_at - call.placement_request.arrived) * 1000
+                ),
                 'left_ms': int(call.seconds_left * 1000),
             },
         )
@@ -348,14 +362,14 @@
 
     def _compose(
         self, call: routed.RoutedCall, place: places.Place
-    ) -> outgoing.Outgoing:
-        pairs = call.headers + wire.describe_try(
+    ) -> outgoing.BackendRequest:
+        pairs = call.headers + wire.build_try_headers(
             server_name=place.server.name,
-            client_account=call.need.account,
+            client_account=call.placement_request.client_account,
             seconds_left=call.seconds_left,
             resume_after=call.resumed_after,
         )
-        return outgoing.Outgoing(
+        return outgoing.BackendRequest(
             method=call.method,
             target=call.target,
             headers=pairs,
@@ -364,7 +378,7 @@
             request_id=call.facts.attempt_id,
             id_header=wire.ATTEMPT_ID,
             host=call.host,
-            unframed_ends=True,
+            accept_unframed=True,
             may_resend=functools.partial(self._charge_resend, call),
             check_server=functools.partial(self._check_server, place.server),
         )
@@ -394,9 +408,9 @@
         of all instances allow.
         """
         call.kept_connection_broke = True
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             return False
-        if not self._budget.take(call.need.service):
+        if not self._budget.take_retry(call.placement_request.service):
             return False
         call.runs += 1
         self._metrics.count('retries', 'kept_connection')
@@ -408,7 +422,7 @@
         left = max(call.seconds_left, 0.001)
         if not call.route.repeatable:
             return left
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             return left
         timeout = _FIRST_BYTE_TIMEOUT_SECONDS
         timeout += _FIRST_BYTE_TIMEOUT_FACTOR * place.expected_seconds
@@ -418,14 +432,14 @@
         self,
         call: routed.RoutedCall,
         relay: events.EventRelay,
-        answer: answers.Answer,
+        answer: responses.Response,
         place: places.Place,
         sent_at: float,
     ) -> None:
-        if call.route.resumable and call.runs < call.route.most_runs:
-            answer.watch_idle(_STREAM_IDLE_SECONDS)
+        if call.route.resumable and call.runs < call.route.max_runs:
+            answer.set_idle_timeout(_STREAM_IDLE_SECONDS)
         else:
-            answer.watch_idle(max(call.seconds_left, 0.001))
+            answer.set_idle_timeout(max(call.seconds_left, 0.001))
 
         def note_start() -> None:
             place.start()
@@ -444,7 +458,9 @@
         now = time.monotonic()
         call.summary.note_answer_start(now)
         took_seconds = now - sent_at
-        self._metrics.record('first_token', now - call.need.arrived)
+        self._metrics.record(
+            'first_token', now - call.placement_request.arrived
+        )
         late_seconds = took_seconds - place.expected_seconds
         self._metrics.record('first_token_error', abs(late_seconds))
         if late_seconds < _LATE_FIRST_EVENT_SECONDS:
@@ -456,17 +472,17 @@
                 'server': place.server.name,
                 'expected_ms': int(place.expected_seconds * 1000),
                 'took_ms': int(took_seconds * 1000),
-                'unread': int(place.unread),
+                'unread': int(place.unread_tokens),
             },
         )
 
     def _read_reply(
         self,
         call: routed.RoutedCall,
-        answer: answers.Answer,
+        answer: responses.Response,
         place: places.Place,
     ) -> replies.Reply:
-        body = answer.read_whole(self._settings.limits.answer_bytes)
+        body = answer.read_body(self._settings.limits.answer_bytes)
         self._crash_guard.note_completion(call)
         call.summary.note_answer_start(time.monotonic())
         place.start()
@@ -485,18 +501,18 @@
         return replies.Reply(status, pairs, body)
 
     def _retry_server_error(
-        self, call: routed.RoutedCall, answer: answers.Answer
+        self, call: routed.RoutedCall, answer: responses.Response
     ) -> None:
         """Raise BackendFailed if a 5xx answer should be retried."""
         if not call.route.repeatable:
             return
-        if call.runs >= call.route.most_runs:
+        if call.runs >= call.route.max_runs:
             return
         if call.seconds_left < _MIN_TRY_SECONDS:
             return
         # Charged before the answer is discarded: without budget for a retry,
         # the answer is passed on to the caller.
-        if self._budget.take(call.need.service):
+        if self._budget.take_retry(call.placement_request.service):
             raise errors.BackendFailed(
                 _SERVER_ERROR,
                 f'the backend server failed with {answer.status}',
@@ -520,12 +536,12 @@
     the 4,600 requests of a busy minute opened a new connection, which costs a
     round trip and processor time of the server.
     """
-    if call.route.repeatable and call.runs < call.route.most_runs:
+    if call.route.repeatable and call.runs < call.route.max_runs:
         return outgoing.Reuse.ANY
     if call.route.repeatable or call.route.streams:
         # The request can't be resent if the connection breaks: its route
         # allows no further run. Whether a failed request ran need not be known
         # for sure here, because running an idempotent or streaming request
         # has no effect that matters to the caller.
-        return outgoing.Reuse.SURE
+        return outgoing.Reuse.RECENT
     return outgoing.Reuse.NEVER
--- a/src/amaranthslip/entry/headers.py
+++ b/src/amaranthslip/entry/headers.py
@@ -35,7 +35,7 @@
 _NOT_FORWARDED_TO_PLAIN = _HOP_BY_HOP | _REPLACED_FOR_BACKEND
 # On an operator's routes, the backend server gets the client account in a
 # header that the platform defines. The caller's `Host` is forwarded, but
-# through `Outgoing.host` instead of the header list.
+# through `BackendRequest.host` instead of the header list.
 NOT_FORWARDED_ON_ROUTES = (
     _HOP_BY_HOP
     | frozenset(('authorization', 'content-length', 'expect', 'host'))
@@ -43,12 +43,12 @@
 )
 _REPLACED_FOR_CALLER = frozenset(('content-length', 'date', 'x-request-id'))
 
-Pairs = list[tuple[str, str]]
+HeaderList = list[tuple[str, str]]
 
 
 def collect_request_headers(
     environ: dict[str, typing.Any], client_account: str
-) -> Pairs:
+) -> HeaderList:
     """Return the headers of a request to a plain service."""
     pairs = collect_forwarded(environ, _NOT_FORWARDED_TO_PLAIN)
     pairs.append(('X-Client-Account', client_account))
@@ -57,7 +57,7 @@
 
 def collect_forwarded(
     environ: dict[str, typing.Any], excluded_names: frozenset[str]
-) -> Pairs:
+) -> HeaderList:
     """Return the caller's headers that are forwarded unchanged.
 
     Parameters
@@ -83,7 +83,9 @@
     return pairs
 
 
-def strip_answer_headers(pairs: typing.Iterable[tuple[str, str]]) -> Pairs:
+def strip_answer_headers(
+    pairs: typing.Iterable[tuple[str, str]],
+) -> HeaderList:
     """Return the headers of a backend server's answer for the caller."""
     pairs = list(pairs)
     connection_names: set[str] = set()
--- a/src/amaranthslip/entry/routed.py
+++ b/src/amaranthslip/entry/routed.py
@@ -32,13 +32,13 @@
         The caller's attempt id, which identifies the request in logs.
     route : Route
         The route that was in force when the request arrived.
-    need : Need
+    placement_request : PlacementRequest
         The placement requirements.
     method, target, host : str
         The method, request target and Host header of the request.
     headers : list of (str, str)
         Headers that are forwarded unchanged.
-    facts : RequestFacts
+    facts : RequestHeaders
         The decoded platform headers.
     body : bytes
         The whole body.
@@ -52,7 +52,7 @@
     __slots__ = (
         'request_id',
         'route',
-        'need',
+        'placement_request',
         'method',
         'target',
         'host',
@@ -73,19 +73,19 @@
         *,
         request_id: str,
         route: routes.Route,
-        need: places.Need,
+        placement_request: places.PlacementRequest,
         method: str,
         target: str,
         host: str,
-        headers: wire.Pairs,
-        facts: wire.RequestFacts,
+        headers: wire.HeaderList,
+        facts: wire.RequestHeaders,
         body: bytes,
         key_authorised: bool,
         fingerprint: bytes,
     ) -> None:
         self.request_id = request_id
         self.route = route
-        self.need = need
+        self.placement_request = placement_request
         self.method = method
         self.target = target
         self.host = host
@@ -101,15 +101,15 @@
         self.kept_connection_broke = False
         # Id of the last stream event that the caller received; 0: none.
         self.resumed_after = facts.resume_after
-        self.summary = notes.Note(need)
+        self.summary = notes.RequestSummary(placement_request)
 
     @property
     def seconds_left(self) -> float:
         """Seconds until the deadline; negative after it."""
-        return self.need.deadline - time.monotonic()
+        return self.placement_request.deadline - time.monotonic()
 
 
-class RouteReader:
+class RouteResolver:
     """Finds the route of a request and authorises it for a client account.
 
     Parameters
@@ -149,7 +149,7 @@
             The last confirmation by the store is too old; nothing was sent in
             this try.
         """
-        if call.key_authorised and not self.trusts_keys():
+        if call.key_authorised and not self.has_trusted_keys():
             raise _refuse_stale(
                 'keys_unconfirmed',
                 'this instance has had no confirmed configuration for'
@@ -157,14 +157,14 @@
                 ' API key is still valid',
             )
 
-    def trusts_keys(self) -> bool:
+    def has_trusted_keys(self) -> bool:
         """Return whether the known API keys are recent enough to trust."""
         if not self._settings.bounds.fail_closed:
             return True
         return self._freshness.age < self._staleness.trusted_seconds
 
     def find_route(
-        self, index: accounts.Index, host: str, path: str
+        self, index: accounts.AccountIndex, host: str, path: str
     ) -> routes.Route:
         """Return the route of a request.
 
@@ -184,7 +184,7 @@
         )
 
     def authorise(
-        self, index: accounts.Index, route: routes.Route, header: str
+        self, index: accounts.AccountIndex, route: routes.Route, header: str
     ) -> document.ClientAccount | None:
         """Return the client account of a request.
 
@@ -201,7 +201,7 @@
         """
         if route.public or not index.document.client_accounts:
             return None
-        if not self.trusts_keys():
+        if not self.has_trusted_keys():
             raise _refuse_stale(
                 'keys_unconfirmed',
                 'this instance can not verify which API keys are valid',
@@ -221,20 +221,20 @@
                 "this instance's configuration may be out of date",
             )
 
-    def build_need(
+    def build_placement_request(
         self,
         route: routes.Route,
         account: document.ClientAccount | None,
-        facts: wire.RequestFacts,
+        facts: wire.RequestHeaders,
         arrived: float,
-    ) -> places.Need:
+    ) -> places.PlacementRequest:
         """Return the placement requirements of a request."""
         seconds = route.timeout_seconds
         if facts.wait_seconds is not None:
             seconds = min(seconds, facts.wait_seconds)
-        return places.Need(
+        return places.PlacementRequest(
             service=route.choose_service(self._random),
-            account='' if account is None else account.name,
+            client_account='' if account is None else account.name,
             route=route,
             prompt=facts.prompt,
             arrived=arrived,
@@ -244,8 +244,8 @@
     def build_call(
         self,
         environ: dict[str, typing.Any],
-        need: places.Need,
-        facts: wire.RequestFacts,
+        placement_request: places.PlacementRequest,
+        facts: wire.RequestHeaders,
         target: str,
         body: bytes,
     ) -> RoutedCall:
@@ -254,8 +254,8 @@
         host = environ.get('HTTP_HOST', '')
         return RoutedCall(
             request_id=facts.attempt_id,
-            route=need.route,
-            need=need,
+            route=placement_request.route,
+            placement_request=placement_request,
             method=method,
             target=target,
             host=host,
@@ -264,9 +264,9 @@
             ),
             facts=facts,
             body=body,
-            key_authorised=bool(need.account),
+            key_authorised=bool(placement_request.client_account),
             fingerprint=fingerprints.compute_fingerprint(
-                client_account=need.account,
+                client_account=placement_request.client_account,
                 method=method,
                 host=host,
                 target=target,
--- a/src/amaranthslip/entry/streams.py
+++ b/src/amaranthslip/entry/streams.py
@@ -4,7 +4,7 @@
 import time
 import typing
 
-from amaranthslip.backends import answers
+from amaranthslip.backends import responses
 from amaranthslip.entry import callers
 from amaranthslip.entry import calls
 from amaranthslip.entry import replies
@@ -109,7 +109,7 @@
         options = {'include_usage': True, 'continuous_usage_stats': True}
         return json.dumps(values | {'stream_options': options}).encode()
 
-    def end_alone(self) -> bool:
+    def finish_without_engine(self) -> bool:
         """Write the end of the stream if all tokens were already delivered.
 
         Returns
@@ -135,7 +135,7 @@
         )
         return True
 
-    def relay(self, answer: answers.Answer, charge: Charge) -> None:
+    def relay(self, answer: responses.Response, charge: Charge) -> None:
         """Forward events up to and including `[DONE]`.
 
         Raises
@@ -170,7 +170,7 @@
             )
         self._gaps.clear()
 
-    def fail(self, failure: replies.Failure) -> typing.NoReturn:
+    def end_with_error(self, failure: replies.Failure) -> typing.NoReturn:
         """End a begun stream with an error that marks it as incomplete."""
         error = failure.encode(self._call.request_id)
         self._caller.write(b'data: ' + error + b'\n\n')
--- a/src/amaranthslip/operated.py
+++ b/src/amaranthslip/operated.py
@@ -49,23 +49,23 @@
 from amaranthslip.requests import crash_messages
 from amaranthslip.requests import quarantine
 from amaranthslip import settings as settings_module
-from amaranthslip.shares import activity
 from amaranthslip.shares import demand
+from amaranthslip.shares import demand_reports
 from amaranthslip.shares import keepers
+from amaranthslip.shares import load_messages
 from amaranthslip.shares import placement
-from amaranthslip.shares import reports
 
 _LOG = logging.getLogger(__name__)
 
 _KeeperMessage = (
-    activity.PlaceAsk
-    | activity.PlaceAnswer
-    | activity.PlaceStarted
-    | activity.PlaceEnded
-    | activity.ServerEjected
+    load_messages.PlaceAsk
+    | load_messages.PlaceAnswer
+    | load_messages.PlaceStarted
+    | load_messages.PlaceEnded
+    | load_messages.ServerEjected
 )
 _CrashMessage = crash_messages.CrashReports | crash_messages.RequestCompleted
-_DemandMessage = activity.DemandReport | activity.DemandLevel
+_DemandMessage = load_messages.DemandReport | load_messages.DemandLevel
 _MemberMessage = (
     member_messages.Probe
     | member_messages.ProbeAnswer
@@ -146,7 +146,7 @@
             self._roster, self._links, self._freshness, staleness
         )
         self._instances = instances.StoredInstances(
-            settings, key_value, follows=True
+            settings, key_value, has_follower=True
         )
         self._build_quarantine(key_value)
         self._follower = following.Follower(
@@ -187,7 +187,7 @@
     def _build_entry(self) -> None:
         settings = self._settings
         outliers = outliers_module.Outliers(self.metrics)
-        self._pressure = pressure.Pressure(settings)
+        self._pressure = pressure.LagMonitor(settings)
         self._engines = engines_module.Engines(self._directory, outliers)
         demands = demand.Demand(lambda: settings.bounds.share_window_seconds)
         server_placement = placement.Placement(
@@ -206,17 +206,19 @@
             self.metrics,
             read_lag=self._pressure.read_lag,
         )
-        self._reports = reports.DemandReports(
+        self._reports = demand_reports.DemandReports(
             self._roster, self._links, demands, self._holder
         )
         self._connections = connections.Connections(settings)
-        self._reader = routed.RouteReader(settings, self._freshness)
-        request_forwarding = forwarding.Forwarding(
+        self._reader = routed.RouteResolver(settings, self._freshness)
+        request_forwarding = forwarding.Forwarder(
             settings,
             self._reader,
             self._keepers,
             demands,
-            budget.FleetBudget(settings, lambda: len(self._roster.live())),
+            budget.FleetBudget(
+                settings, lambda: len(self._roster.list_live())
+            ),
             self._directory,
             self._connections,
             crashes.CrashGuard(
@@ -225,11 +227,11 @@
                 self.metrics,
             ),
             self.metrics,
-            read_hold=lambda: self._pressure.hold_seconds,
+            read_batch_seconds=lambda: self._pressure.hold_seconds,
         )
         application = routing.RoutedApplication(
             settings,
-            accounts.Accounts(self._holder),
+            accounts.AccountIndexCache(self._holder),
             self._reader,
             request_forwarding,
             self._pressure,
@@ -309,8 +311,8 @@
             not self._progress.stopping
             and self._holder.ready
             and len(self._directory) > 0
-            and self._reader.trusts_keys()
-            and not self._pressure.hot
+            and self._reader.has_trusted_keys()
+            and not self._pressure.overloaded
         )
 
     def stop(self) -> bool:
@@ -327,7 +329,10 @@
         """
         shutdown = self._settings.shutdown
         deadline = time.monotonic() + shutdown.finish_seconds
-        _LOG.info('router_stopping', extra={'requests': self._progress.read()})
+        _LOG.info(
+            'router_stopping',
+            extra={'requests': self._progress.count_requests()},
+        )
         self._progress.stopping = True
         gevent.sleep(shutdown.notice_seconds)
         self._progress.refusing = True
@@ -358,9 +363,9 @@
                 generation, timeout=_CLEANUP_SECONDS
             )
             self._apply_caller_limits()
-            self._keepers.purge()
+            self._keepers.drop_expired()
             servers = self._directory.list_all()
-            self._connections.keep_only([each.address for each in servers])
+            self._connections.close_others([each.address for each in servers])
 
     def _apply_caller_limits(self) -> None:
         limits = self._holder.document.caller_limits
@@ -391,7 +396,7 @@
                     'service': each.server.service,
                     'leaving': each.server.leaving,
                     'running': each.running,
-                    'running_anywhere': each.all_running,
+                    'running_anywhere': each.total_running,
                     'tokens_a_second': round(each.queue.rate),
                 }
                 for each in self._engines.list_all()
@@ -411,8 +416,8 @@
 
     @_route.register
     def _(self, message: member_messages.Hello, sender: str) -> None:
-        self._keepers.greet(sender)
-        self._reports.greet(sender)
+        self._keepers.forget_peer(sender)
+        self._reports.forget_peer(sender)
         self._relaying.forget(sender)
         self._detector.receive(sender, message)
 
@@ -436,16 +441,16 @@
     def _(
         self, message: configuration_messages.StoreChanges, sender: str
     ) -> None:
-        self._follower.take_changes(sender, message)
+        self._follower.receive_changes(sender, message)
 
     @_route.register
     def _(
         self, message: configuration_messages.StoreStamp, sender: str
     ) -> None:
-        self._follower.take_stamp(sender, message)
+        self._follower.receive_stamp(sender, message)
 
     @_route.register
     def _(
         self, message: configuration_messages.StoreUnreachable, sender: str
     ) -> None:
-        self._follower.take_loss(sender)
+        self._follower.receive_store_loss(sender)
--- a/src/amaranthslip/requests/claims.py
+++ b/src/amaranthslip/requests/claims.py
@@ -73,8 +73,8 @@
     key_value : object
         Has the methods `get` and `swap` of `platform.keyvalue.KeyValue`.
     roster : object
-        Has `live()`, which returns the members that can be collectors, and
-        `generation`, which changes whenever these members change.
+        Has `list_live()`, which returns the members that can be collectors,
+        and `generation`, which changes whenever these members change.
     outbox : object
         Has `send(instance_name, message) -> bool`.
     metrics_ : Metrics
@@ -124,7 +124,7 @@
         self._metrics = metrics_
         self._name = name
         self._clock = clock
-        self._owner = identity.identify(name)
+        self._owner = identity.hash_name(name)
         self._collectors: dict[int, str] = {}
         self._collectors_generation: object = None
         self._groups: dict[int, claim_groups.ClaimGroup] = {}
@@ -165,7 +165,7 @@
         key : str
             The caller's `Idempotency-Key` header.
         fingerprint : int
-            `claim_keys.fingerprint` of the request.
+            `claim_keys.hash_request` of the request.
 
         Raises
         ------
@@ -283,10 +283,12 @@
             self._collectors_generation = self._roster.generation
             self._collectors.clear()
         if shard not in self._collectors:
-            names = [member.name for member in self._roster.live()]
+            names = [member.name for member in self._roster.list_live()]
             self._collectors[shard] = max(
                 names or [self._name],
-                key=lambda name: identity.rank(f'claims/{shard}', name),
+                key=lambda name: identity.rendezvous_hash(
+                    f'claims/{shard}', name
+                ),
             )
         return self._collectors[shard]
 
@@ -305,8 +307,8 @@
 
     def _is_live(self, owner: int) -> bool:
         return any(
-            identity.identify(member.name) == owner
-            for member in self._roster.live()
+            identity.hash_name(member.name) == owner
+            for member in self._roster.list_live()
         )
 
     def receive(self, sender: str, message: object) -> None:
@@ -319,7 +321,7 @@
         limit = self._settings.platform.timeout_seconds
         pending = claim_groups.PendingClaim(
             request,
-            owner=identity.identify(sender),
+            owner=identity.hash_name(sender),
             deadline=time.monotonic() + limit * 2,
             reply=functools.partial(self._reply_to_claim, sender, request),
         )
--- a/src/amaranthslip/router.py
+++ b/src/amaranthslip/router.py
@@ -130,7 +130,7 @@
         )
         self._instances = instances.StoredInstances(settings, key_value)
         self._store = store.Store(settings, key_value)
-        self._spread = spread.Spread(
+        self._spread = spread.VersionPropagator(
             settings,
             self._holder,
             self._store,
@@ -253,8 +253,8 @@
             self._links,
             self.metrics,
             instance_list=self._instances,
-            heard_version=self._record_version,
-            read_version=self._read_version,
+            on_version=self._record_peer_version,
+            get_version=self._read_version,
         )
 
     def _build_console(self) -> None:
@@ -271,16 +271,16 @@
             self.metrics,
         )
 
-    def _record_version(self, name: str, version: int) -> None:
+    def _record_peer_version(self, name: str, version: int) -> None:
         self._status.record_version(name, version)
-        self._spread.heard_version(name, version)
+        self._spread.record_peer_version(name, version)
 
     def _read_version(self) -> int:
         return self._holder.document.version
 
     def _list_initial_messages(self, name: str) -> list[object]:
         """Return the messages to send first on a new connection to a peer."""
-        restate_request = self._dispatcher.build_question()
+        restate_request = self._dispatcher.build_restate()
         return [
             restate_request,
             *self._scheduler.restate(name),
@@ -296,7 +296,7 @@
 
     @_route.register
     def _(self, message: member_messages.Hello, sender: str) -> None:
-        start = incarnations.start_of(message.incarnation)
+        start = incarnations.get_start(message.incarnation)
         self._dispatcher.greet(sender, start)
         self._scheduler.greet(sender, start)
         self._detector.receive(sender, message)
--- a/src/amaranthslip/shares/candidates.py
+++ b/src/amaranthslip/shares/candidates.py
@@ -67,7 +67,7 @@
         service : str
             The service whose servers are candidates.
         key : str
-            `Prompt.shared_key`; '' without a prompt.
+            `Prompt.shared_prefix_key`; '' without a prompt.
         """
         ready = self._engines.list_ready(service)
         order = self._find_order(service, key, ready)
@@ -117,5 +117,5 @@
     return heapq.nlargest(
         count,
         ready,
-        key=lambda each: identity.rank(key, each.server.name),
+        key=lambda each: identity.rendezvous_hash(key, each.server.name),
     )
--- a/tests/features/steps/candidates.py
+++ b/tests/features/steps/candidates.py
@@ -16,14 +16,14 @@
 def start(context, count):
     context.environment = placing.Environment(count)
     context.instance = patterns.Instance(context.environment, 'instance-0')
-    parts = [prompts.Part('aa', 2000), prompts.Part('own', 500)]
+    parts = [prompts.PromptPart('aa', 2000), prompts.PromptPart('own', 500)]
     context.prompt = prompts.Prompt(
-        model='m', parts=parts, prompt_tokens=2500, most_tokens=50
+        model='m', parts=parts, prompt_tokens=2500, max_output_tokens=50
     )
-    key = context.prompt.shared_key
+    key = context.prompt.shared_prefix_key
     context.order = sorted(
         (each.name for each in context.environment.servers),
-        key=lambda name: identity.rank(key, name),
+        key=lambda name: identity.rendezvous_hash(key, name),
         reverse=True,
     )
     context.ejected = set()
@@ -35,7 +35,7 @@
 def eject(context, count):
     context.ejected = set(context.order[:count])
     for name in context.ejected:
-        context.instance.placement.outliers.hear(
+        context.instance.placement.outliers.apply_remote_ejection(
             name, patterns.SERVICE, seconds=5.0
         )
 
@@ -47,9 +47,9 @@
 
 @behave.when('a prompt is placed')
 def place(context):
-    need = places.Need(
+    placement_request = places.PlacementRequest(
         service=patterns.SERVICE,
-        account='account-1',
+        client_account='account-1',
         route=patterns.build_route(patterns.KINDS[0]),
         prompt=context.prompt,
         arrived=context.environment.now,
@@ -59,7 +59,7 @@
     with mock.patch.object(
         placement.Placement, '_score_engine', autospec=True, side_effect=score
     ) as scored:
-        found = context.instance.placement.select_place(need)
+        found = context.instance.placement.select_place(placement_request)
     context.scored = scored.call_count
     context.server = found.server.name
 
--- a/tests/support/dispatching.py
+++ b/tests/support/dispatching.py
@@ -41,7 +41,7 @@
     def get(self, name: str) -> members.Member | None:
         return self._members.get(name)
 
-    def live(self) -> tuple[members.Member, ...]:
+    def list_live(self) -> tuple[members.Member, ...]:
         known = sorted(self._members.values(), key=lambda each: each.name)
         limit = members.MemberState.SUSPECT
         return tuple(each for each in known if each.state <= limit)
@@ -253,7 +253,7 @@
     def _connect(self, sender: str, name: str) -> None:
         origin, target = self.instances[sender], self.instances[name]
         target.greet(sender, origin.incarnation)
-        first = [origin.dispatcher.build_question()]
+        first = [origin.dispatcher.build_restate()]
         for message in first + origin.scheduler.restate(name):
             self.send(sender, name, message)
 
