--- a/src/amaranthslip/backends/connections.py
+++ b/src/amaranthslip/backends/connections.py
@@ -185,8 +185,8 @@
             name = errno.errorcode.get(error.errno or 0, str(error))
             raise errors.BackendFailed(
                 'connect',
-                f'cannot connect to the backend server ({name}); the request'
-                ' was not sent, so it is safe to send it again',
+                f'no connection to the backend server ({name}); it was not'
+                ' sent, so it is safe to send it again',
                 sent=False,
                 status=503,
             ) from None
--- a/src/amaranthslip/backends/outgoing.py
+++ b/src/amaranthslip/backends/outgoing.py
@@ -122,7 +122,7 @@
             _validate(_TOKEN, name, 'a header name')
             _validate(_FIELD_VALUE, value, f'the header {name!r}')
             lines.append(f'{name}: {value}')
-        _validate(_FIELD_VALUE, self.request_id, 'the request id')
+        _validate(_FIELD_VALUE, self.request_id, 'the id')
         lines.append(f'{self.id_header}: {self.request_id}')
         if self.body or self.method in ('POST', 'PUT', 'PATCH'):
             lines.append(f'Content-Length: {len(self.body)}')
@@ -134,7 +134,7 @@
     if not pattern.fullmatch(text):
         raise errors.RequestRefused(
             'malformed',
-            f'{subject} contains characters that HTTP does not allow;'
+            f'{subject} holds characters that HTTP does not allow;'
             ' send it without control characters or line breaks',
             status=400,
         )
--- a/src/amaranthslip/backends/responses.py
+++ b/src/amaranthslip/backends/responses.py
@@ -63,9 +63,7 @@
         # appended to the first. Only a 1xx response, or a response to an
         # earlier request, may be followed by another response.
         if self.message_complete and not self.stale and self.get_code() >= 200:
-            raise response.HTTPProtocolViolationError(
-                'unexpected second response'
-            )
+            raise response.HTTPProtocolViolationError('a second answer')
         super()._on_message_begin()
         self.stale = False
 
@@ -127,7 +125,7 @@
             self._socket.sendall(data)
         except socket.timeout:
             raise self._close_with_failure(
-                'send_timeout', 'did not read the request in time', status=504
+                'send_timeout', 'took nothing for too long', status=504
             ) from None
         except OSError:
             return
@@ -217,8 +215,8 @@
             if length > max_bytes:
                 raise self._close_with_failure(
                     'answer_too_large',
-                    f'sent a response of more than {max_bytes} bytes; request'
-                    ' less data, or raise limits.answer_bytes',
+                    f'sent an answer of more than {max_bytes} bytes; ask'
+                    ' for less, or raise limits.answer_bytes',
                 )
         return b''.join(body_chunks)
 
@@ -264,11 +262,11 @@
         except (socket.timeout, idling.IdleTimeout):
             reason = 'idle' if self.status else 'first_byte_timeout'
             raise self._close_with_failure(
-                reason, 'sent no data within the timeout', status=504
+                reason, 'sent nothing for too long', status=504
             ) from None
         except OSError as error:
             raise self._close_with_failure(
-                'reset', f'broke the connection: {error}'
+                'reset', f'broke off: {error}'
             ) from None
         if not data:
             self._connection_ended = True
@@ -288,7 +286,7 @@
             # its connection must not be reused.
             if not self._parser.message_complete:
                 raise self._close_with_failure(
-                    'malformed_answer', f'sent invalid HTTP: {error}'
+                    'malformed_answer', f'sent no valid HTTP: {error}'
                 ) from None
             self._reusable = False
 
--- a/src/amaranthslip/entry/accounts.py
+++ b/src/amaranthslip/entry/accounts.py
@@ -35,7 +35,7 @@
         if scheme.lower() != 'bearer' or not key.strip():
             raise errors.RequestRefused(
                 'unauthorised',
-                'missing bearer key; send "Authorization: Bearer <key>"',
+                'no bearer key; send "Authorization: Bearer <key>"',
                 status=401,
             )
         digest = hashlib.sha256(key.strip().encode('latin-1')).hexdigest()
@@ -43,7 +43,7 @@
         if account is None:
             raise errors.RequestRefused(
                 'unauthorised',
-                'unknown bearer key; request a valid key from an operator',
+                'unknown bearer key; ask an operator for a key in force',
                 status=401,
             )
         return account
@@ -69,7 +69,7 @@
             raise errors.RequestRefused(
                 'service_unknown',
                 f'no {kind} service {name!r} for this client account; see'
-                ' GET /v1/models, or request access from an operator',
+                ' GET /v1/models, or ask an operator for access',
                 status=404,
             )
         return service
@@ -126,7 +126,7 @@
 ) -> errors.RequestRefused:
     return errors.RequestRefused(
         'kind_unknown',
-        f'service {service.name!r} has no request kind {criteria}; ask an'
+        f'service {service.name!r} has no kind of request {criteria}; ask an'
         ' operator to add one',
         status=404,
     )
--- a/src/amaranthslip/entry/application.py
+++ b/src/amaranthslip/entry/application.py
@@ -172,8 +172,8 @@
         if self._progress.refusing:
             raise errors.RequestRefused(
                 'stopping',
-                'this instance is shutting down; send the request again,'
-                ' another instance will accept it',
+                'this instance is being stopped; send the request again,'
+                ' another instance will take it',
                 retry_after=1.0,
             )
         return self._dispatch(environ, caller, request_id, arrived)
@@ -229,7 +229,7 @@
         else:
             raise errors.RequestRefused(
                 'path_unknown',
-                f'unknown path {path!r}; use /v1/chat/completions,'
+                f'nothing is served at {path!r}; use /v1/chat/completions,'
                 ' /v1/completions, /v1/models or /services/<name>/',
                 status=404,
             )
@@ -312,7 +312,7 @@
         raise errors.RequestRefused(
             'not_ready',
             'this instance has no configuration yet; send the request'
-            ' again, another instance will accept it',
+            ' again, another instance will take it',
             retry_after=1.0,
         )
 
@@ -321,7 +321,7 @@
     if environ['REQUEST_METHOD'] != method:
         raise errors.RequestRefused(
             'method_not_allowed',
-            f'this path accepts {method} only',
+            f'this path takes {method} only',
             status=405,
         )
 
--- a/src/amaranthslip/entry/attempts.py
+++ b/src/amaranthslip/entry/attempts.py
@@ -116,7 +116,7 @@
         raise errors.RequestRefused(
             'deadline',
             f'no answer within {call.kind.deadline_seconds:g} s, the'
-            ' deadline of this kind of request; retry later',
+            ' deadline of this kind of request; send it again later',
             status=504,
             retry_after=call.kind.deadline_seconds,
         )
--- a/src/amaranthslip/entry/bodies.py
+++ b/src/amaranthslip/entry/bodies.py
@@ -35,13 +35,13 @@
         except OSError as error:
             raise errors.RequestRefused(
                 'malformed',
-                f'the body could not be read ({error}); send it completely',
+                f'the body could not be read ({error}); send it whole',
                 status=400,
             ) from None
     raise errors.RequestRefused(
         'body_timeout',
         f'the body took longer than {limits.body_seconds:g} s; send it'
-        ' faster, or send a smaller body',
+        ' faster, or send less',
         status=408,
     )
 
@@ -61,7 +61,7 @@
 def _build_size_error(max_bytes: int) -> errors.RequestRefused:
     return errors.RequestRefused(
         'body_too_large',
-        f'the body is larger than {max_bytes} bytes; send a smaller one',
+        f'the body is larger than {max_bytes} bytes; send less at once',
         status=413,
     )
 
@@ -78,11 +78,11 @@
     try:
         values = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise _build_format_error(f'is not valid JSON ({error})') from None
+        raise _build_format_error(f'is no valid JSON ({error})') from None
     if not isinstance(values, dict):
-        raise _build_format_error('is not a JSON object')
+        raise _build_format_error('is no JSON object')
     if not isinstance(values.get('model'), str):
-        raise _build_format_error('has no "model" string')
+        raise _build_format_error('names no "model"')
     if not isinstance(values.get('stream', False), bool | None):
         raise _build_format_error(
             'has a "stream" that is neither true nor false'
@@ -97,6 +97,6 @@
 def _build_format_error(problem: str) -> errors.RequestRefused:
     return errors.RequestRefused(
         'malformed',
-        f"the body {problem}; send a JSON object as OpenAI's API defines it",
+        f"the body {problem}; send a JSON object as OpenAI's API takes it",
         status=400,
     )
--- a/src/amaranthslip/entry/events.py
+++ b/src/amaranthslip/entry/events.py
@@ -121,7 +121,7 @@
                 if event_id != self.last_id + 1:
                     self._write(b''.join(new_events), headers)
                     raise _build_stream_error(
-                        f'skipped events after event {self.last_id}'
+                        f'left out events after {self.last_id}'
                     )
                 self.last_id = event_id
             new_events.append(event + _EVENT_END)
@@ -141,7 +141,7 @@
 
     def _check_length(self, pending: bytes) -> None:
         if len(pending) > _MAX_EVENT_BYTES:
-            raise _build_stream_error('sent no complete event')
+            raise _build_stream_error('sent no events')
 
 
 def _find_id(event: bytes) -> int | None:
--- a/src/amaranthslip/entry/fields.py
+++ b/src/amaranthslip/entry/fields.py
@@ -50,10 +50,10 @@
         if line[:1] in (b' ', b'\t'):
             # A backend server could read a forwarded continuation line as a
             # separate header field.
-            raise FieldsInvalid('contain a folded line')
+            raise FieldsInvalid('hold a folded line')
         match = _FIELD_LINE.fullmatch(line)
         if match is None:
-            raise FieldsInvalid('contain a line that is not a header field')
+            raise FieldsInvalid('hold a line that is no field')
         name = match[1].decode('ascii')
         value = match[2].decode('latin-1').strip()
         self.headers.append(f'{name}: {value}')
--- a/src/amaranthslip/entry/forwarding.py
+++ b/src/amaranthslip/entry/forwarding.py
@@ -196,8 +196,8 @@
             pass
         raise errors.RequestRefused(
             'deadline',
-            'no answer before the deadline that the route and the caller'
-            ' set; retry later',
+            'no answer within the time that the route and the caller allow;'
+            ' send it again later',
         )
 
     def _try_until_done(
@@ -355,7 +355,8 @@
                 # the caller would read it as the regular end of the stream.
                 raise errors.BackendFailed(
                     'resume_refused',
-                    f'the engine did not resume the stream ({answer.status})',
+                    f'the engine did not go on with the stream'
+                    f' ({answer.status})',
                     sent=True,
                 )
             return self._read_reply(call, answer, place)
@@ -388,7 +389,7 @@
         listed = self._directory.get(server.name)
         if listed is None or listed.leaving:
             raise _build_unsent_failure(
-                'leaving', 'the backend server is leaving or no longer listed'
+                'leaving', 'the backend server is leaving'
             )
         seconds = self._directory.read_backoff(server)
         if seconds > 0:
@@ -523,7 +524,7 @@
 def _build_unsent_failure(reason: str, text: str) -> errors.BackendFailed:
     return errors.BackendFailed(
         reason,
-        f'{text}; the request was not sent and can safely be retried',
+        f'{text}; it was not sent, so it is safe to send it again',
         sent=False,
         status=503,
     )
--- a/src/amaranthslip/entry/outcomes.py
+++ b/src/amaranthslip/entry/outcomes.py
@@ -26,14 +26,14 @@
         reason = 'misdirected' if answer.status == 421 else 'rejected'
         raise errors.BackendFailed(
             reason,
-            f'the backend server did not run the request ({answer.status})',
+            f'the backend server took no request ({answer.status})',
             sent=False,
             status=503,
         )
     if facts.encoded or (answer.status < 300 and not facts.signed):
         raise errors.BackendFailed(
             'foreign_answer',
-            'the answer does not come from the backend server itself',
+            "the answer is not the backend server's own",
             sent=True,
         )
 
@@ -69,7 +69,7 @@
     if isinstance(error, errors.BackendFailed) and not error.sent:
         return errors.RequestRefused(
             error.reason,
-            f'{error}; the request was not run, retry later',
+            f'{error}; it was not run, come back later',
             retry_after=0.2,
         )
     return error
--- a/src/amaranthslip/entry/paths.py
+++ b/src/amaranthslip/entry/paths.py
@@ -32,6 +32,6 @@
 def _build_path_error(parts: str) -> errors.RequestRefused:
     return errors.RequestRefused(
         'malformed',
-        f'the path contains {parts}; send a path without them',
+        f'the path holds {parts}; send it in its plain form',
         status=400,
     )
--- a/src/amaranthslip/entry/replies.py
+++ b/src/amaranthslip/entry/replies.py
@@ -118,7 +118,7 @@
     return Failure(
         500,
         'outcome_unknown',
-        'internal router error; report the request id, and check whether the'
+        'the router failed; report the request id, and look up whether the'
         ' request ran before sending it again',
         not_run=False,
     )
--- a/src/amaranthslip/entry/resumption.py
+++ b/src/amaranthslip/entry/resumption.py
@@ -124,7 +124,7 @@
     ):
         raise errors.BackendFailed(
             'not_resumable',
-            'the engine failed, and a stream with these options can not be'
+            'the engine was lost and a stream of this form can not be'
             ' resumed; send the request again',
             sent=True,
         )
--- a/src/amaranthslip/entry/routed.py
+++ b/src/amaranthslip/entry/routed.py
@@ -152,9 +152,9 @@
         if call.key_authorised and not self.has_trusted_keys():
             raise _refuse_stale(
                 'keys_unconfirmed',
-                'this instance has had no confirmed configuration for'
-                f' {self._freshness.age:.1f} s and can not verify that the'
-                ' API key is still valid',
+                'this instance has not heard from the operator for'
+                f' {self._freshness.age:.1f} s and can not tell whether the'
+                ' key is still in force',
             )
 
     def has_trusted_keys(self) -> bool:
@@ -204,7 +204,7 @@
         if not self.has_trusted_keys():
             raise _refuse_stale(
                 'keys_unconfirmed',
-                'this instance can not verify which API keys are valid',
+                'this instance does not know which keys are in force',
             )
         try:
             return index.authorise(header)
@@ -218,7 +218,7 @@
         if self._freshness.age > self._staleness.certain_seconds:
             raise _refuse_stale(
                 'configuration_unconfirmed',
-                "this instance's configuration may be out of date",
+                'this instance may have an old configuration',
             )
 
     def build_placement_request(
@@ -278,6 +278,6 @@
 def _refuse_stale(reason: str, text: str) -> errors.RequestRefused:
     return errors.RequestRefused(
         reason,
-        f'{text}; retry, another instance may be up to date',
+        f'{text}; send it again, another instance may know',
         retry_after=_STALE_RETRY_SECONDS,
     )
--- a/src/amaranthslip/entry/routing.py
+++ b/src/amaranthslip/entry/routing.py
@@ -76,8 +76,8 @@
         if not facts.attempt_id:
             raise errors.RequestRefused(
                 'malformed',
-                'the Amaranthslip-Attempt-Id header is missing; send a unique'
-                ' id with each attempt',
+                'the request has no attempt id; send one of its own with'
+                ' each attempt',
                 status=400,
             )
         placement_request = self._reader.build_placement_request(
@@ -106,7 +106,7 @@
             return
         raise errors.RequestRefused(
             'instance_busy',
-            f'the event loop of this instance is {lag:.2f} s behind schedule;'
-            ' retry, another instance may have capacity',
+            f'this instance is {lag:.2f} s behind with its work; send the'
+            ' request again, another instance may have room',
             retry_after=self._random.uniform(*_RETRY_AFTER_SECONDS),
         )
--- a/src/amaranthslip/entry/server.py
+++ b/src/amaranthslip/entry/server.py
@@ -53,7 +53,7 @@
     reason = 'headers_too_large' if status == 431 else 'malformed'
     return errors.RequestRefused(
         reason,
-        f'the headers {problem}; send a request that conforms to RFC 9112',
+        f'the headers {problem}; send a request as RFC 9112 has it',
         status=status,
     )
 
@@ -89,9 +89,7 @@
         finally:
             self._stop_timer()
         if self.request_version not in ('HTTP/1.0', 'HTTP/1.1'):
-            raise _build_header_error(
-                'specify neither HTTP/1.0 nor HTTP/1.1', 400
-            )
+            raise _build_header_error('name no version of HTTP/1', 400)
         self._check_framing()
         return True
 
@@ -111,7 +109,7 @@
             remaining -= len(line)
             if remaining < 0:
                 raise _build_header_error(
-                    f'are larger than {max_bytes} bytes', 431
+                    f'are longer than {max_bytes} bytes', 431
                 )
             if line in _EMPTY_LINES:
                 return lines
@@ -134,7 +132,7 @@
             return self._encode_error_reply(
                 errors.RequestRefused(
                     'target_too_long',
-                    'the request line is too long; send a shorter target',
+                    'the request line is too long; shorten the target',
                     status=414,
                 )
             )
@@ -166,7 +164,7 @@
         coding = self.headers.get_all('transfer-encoding')
         if coding and [each.lower() for each in coding] != ['chunked']:
             raise _build_header_error(
-                'specify a transfer coding other than chunked', 400
+                'name a transfer coding but chunked', 400
             )
         lengths = self.headers.get_all('content-length')
         # Servers differ in how they read two lengths, or one such as `+5`.
@@ -175,16 +173,14 @@
         if len(set(lengths)) > 1 or not all(
             each.isascii() and each.isdigit() for each in lengths
         ):
-            raise _build_header_error(
-                'do not specify a single valid Content-Length', 400
-            )
+            raise _build_header_error('hold no single valid length', 400)
 
     def _handle_client_error(self, ex: Exception) -> tuple[str, bytes]:
         if isinstance(ex, _HeaderTimeout):
             limits = self.server.settings.limits
             ex = _build_timeout_error(limits.header_seconds)
         elif not isinstance(ex, errors.RequestRefused):
-            ex = _build_header_error(f'can not be parsed ({ex})', 400)
+            ex = _build_header_error(f'can not be read ({ex})', 400)
         return self._encode_error_reply(ex)
 
     def _encode_error_reply(
@@ -231,7 +227,7 @@
 def _build_timeout_error(seconds: float) -> errors.RequestRefused:
     return errors.RequestRefused(
         'header_timeout',
-        f'the headers took longer than {seconds:g} s; send them without delay',
+        f'the headers took longer than {seconds:g} s; send them at once',
         status=408,
     )
 
@@ -311,7 +307,7 @@
     def _refuse(self, sock: socket.socket) -> None:
         error = errors.RequestRefused(
             'connections',
-            'this instance has reached its connection limit; try again, or'
+            'this instance has as many connections as it may; try again, or'
             ' keep connections alive and share them',
             retry_after=1.0,
         )
--- a/src/amaranthslip/entry/streams.py
+++ b/src/amaranthslip/entry/streams.py
@@ -147,16 +147,14 @@
         while True:
             data = answer.read()
             if not data:
-                raise _build_stream_error('ended', 'a stream without `[DONE]`')
+                raise _build_stream_error('ended', 'its stream without an end')
             if pending:
                 data = pending + data
             end = data.rfind(b'\n\n') + 2
             if end < 2:
                 pending = data
                 if len(pending) > _MAX_EVENT_BYTES:
-                    raise _build_stream_error(
-                        'malformed_answer', 'no complete event'
-                    )
+                    raise _build_stream_error('malformed_answer', 'no events')
                 continue
             pending = data[end:]
             if self._forward_events(data[:end] if pending else data, charge):
@@ -186,9 +184,7 @@
             # then ends the stream as if it were complete.
             data = data[: data.index(_ERROR_PREFIX)]
             self._deliver(data, charge)
-            raise _build_stream_error(
-                'engine_error', 'an error event in its stream'
-            )
+            raise _build_stream_error('engine_error', 'an error in its stream')
         self._deliver(data, charge)
         if done_at >= 0:
             if not self._caller.started:
@@ -255,9 +251,7 @@
 
     def _decode_delivered(self) -> resumption.DeliveredEvents:
         if self._delivered_bytes > _MAX_DELIVERED_BYTES:
-            raise _build_stream_error(
-                'not_resumable', 'more events than the router keeps'
-            )
+            raise _build_stream_error('not_resumable', 'more than can be kept')
         delivered = resumption.DeliveredEvents(self._delivered)
         resumption.check_resumable(self._call.values, delivered)
         return delivered
--- a/src/amaranthslip/entry/tries.py
+++ b/src/amaranthslip/entry/tries.py
@@ -202,7 +202,7 @@
                 raise errors.BackendFailed(
                     'resume_refused',
                     f'the engine did not resume the stream ({answer.status});'
-                    ' retry the request',
+                    ' send the request again',
                     sent=True,
                 )
             return self._read_reply(call, answer, grant_use)
--- a/src/amaranthslip/requests/claims.py
+++ b/src/amaranthslip/requests/claims.py
@@ -212,18 +212,17 @@
             self._metrics.count('claims', 'key_from_future')
             raise errors.RequestRefused(
                 'key_from_future',
-                'not run: the creation time of the Idempotency-Key is '
-                f'{-age:.0f} s in the future; correct the clock that '
-                'generates the keys',
+                f'not run: the Idempotency-Key was made {-age:.0f} s in the '
+                'future; set the clock that makes your keys',
                 status=400,
             )
         if age > self._settings.claims.window_seconds:
             self._metrics.count('claims', 'key_too_old')
             raise errors.OutcomeUnknown(
                 'key_too_old',
-                f'the Idempotency-Key was created {age:.0f} s ago, and claims '
+                f'the Idempotency-Key was made {age:.0f} s ago, and claims '
                 f'are kept for {self._settings.claims.window_seconds:g} s: '
-                'it is not known whether the request ran earlier; look it up '
+                'whether the request ran earlier cannot be told; look it up '
                 'at the service, then use a new key',
             )
 
--- a/src/amaranthslip/requests/crash_exchange.py
+++ b/src/amaranthslip/requests/crash_exchange.py
@@ -99,7 +99,7 @@
         raise errors.RequestRefused(
             'crashes_servers',
             f'the backend servers {_list_servers(crashes)} crashed while they'
-            ' ran this request; it is refused until it has not been sent for'
+            ' ran this request; it is not run again until it has not come for'
             f' {keep_seconds:g} s; change it, or report its id to the'
             ' operators',
             status=429,
--- a/src/amaranthslip/shares/placement.py
+++ b/src/amaranthslip/shares/placement.py
@@ -329,19 +329,18 @@
             raise self._build_refusal(
                 placement_request,
                 'over_share',
-                'the client account'
-                f' {placement_request.client_account} has used'
-                f' {estimate.share_use:.2f} of its fair share, and the first'
-                f' event is expected after {best.wait_seconds:.2f} s',
+                f'the client account {placement_request.client_account}'
+                f' has had {estimate.share_use:.2f} of its fair share, and the first'
+                f' event would take {best.wait_seconds:.2f} s',
                 status=429,
                 after=estimate.excess_seconds,
             )
         raise self._build_refusal(
             placement_request,
             'overload',
-            f'the first event is expected after {best.wait_seconds:.2f} s at'
-            f' the best backend server, {best.engine.server.name}; the client'
-            f' account {placement_request.client_account} has used'
+            f'the first event would take {best.wait_seconds:.2f} s at the'
+            f' best of the servers, {best.engine.server.name}; the client'
+            f' account {placement_request.client_account} has had'
             f' {estimate.share_use:.2f} of its fair share',
             after=estimate.excess_seconds,
         )
@@ -428,13 +427,13 @@
             return self._build_refusal(
                 placement_request,
                 'no_backend_server',
-                'no backend server is available',
+                'no backend server is left for it',
             )
         return self._build_refusal(
             placement_request,
             'backoff',
-            'all backend servers of the service are in backoff for at least'
-            f' another {seconds:.1f} s',
+            'all backend servers for it are in backoff for at least another'
+            f' {seconds:.1f} s',
             after=seconds,
         )
 
@@ -452,7 +451,7 @@
         wait *= self._random.uniform(1.0, 1.3)
         return errors.RequestRefused(
             reason,
-            f'{text}; retry later',
+            f'{text}; come back later',
             status=status,
             retry_after=min(wait, _MAX_RETRY_FRACTION * left),
         )
--- a/src/amaranthslip/shares/scheduler.py
+++ b/src/amaranthslip/shares/scheduler.py
@@ -174,8 +174,8 @@
         if len(queue.waiters) >= account.queue_requests:
             raise self._refuse(
                 'queue_full',
-                f'{len(queue.waiters)} requests of this client account are '
-                'queued on this instance already; retry later',
+                f'{len(queue.waiters)} requests of this client account wait '
+                'here already; retry later',
                 status=429,
                 retry_after=max(_MIN_RETRY_SECONDS, queue.interval),
             )
@@ -186,8 +186,8 @@
         if len(queue.waiters) >= _MIN_QUEUE_TO_PREDICT and predicted > allowed:
             raise self._refuse(
                 'queue_wait',
-                f'the expected queue wait is {predicted:.0f} s, longer than '
-                f'the {allowed:.0f} s allowed; retry later',
+                f'the wait would be about {predicted:.0f} s, beyond the '
+                f'{allowed:.0f} s allowed; retry later',
                 status=429,
                 retry_after=max(_MIN_RETRY_SECONDS, predicted - allowed),
             )
@@ -197,7 +197,7 @@
     ) -> errors.RequestRefused:
         return self._refuse(
             'queue_timeout',
-            f'no slot became free within {timeout:.1f} s; retry later',
+            f'no slot came free in {timeout:.1f} s; retry later',
             status=429,
             retry_after=max(_MIN_RETRY_SECONDS, queue.predict_wait()),
         )
