--- a/src/amaranthslip/shares/placement.py
+++ b/src/amaranthslip/shares/placement.py
@@ -330,8 +330,8 @@
                 placement_request,
                 'over_share',
                 f'the client account {placement_request.client_account}'
-                f' has had {estimate.share_use:.2f} of its fair share, and the first'
-                f' event would take {best.wait_seconds:.2f} s',
+                f' has had {estimate.share_use:.2f} of its fair share, and the'
+                f' first event would take {best.wait_seconds:.2f} s',
                 status=429,
                 after=estimate.excess_seconds,
             )
